--- a/src/libjobs/admission.cpp
+++ b/src/libjobs/admission.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// Share of the capacity that a job gets at least however much goes before it:
-/// newcomers are refused themselves when they come too fast.
+/// Smallest share of the capacity that a job is assumed to get, however much is
+/// served before it: later jobs are themselves refused when they arrive too
+/// fast.
 constexpr double leastShare = 0.1;
-/// A caller that is refused is told to come back after this long at least.
+/// Shortest delay after which a refused caller is told to retry.
 constexpr Duration minRetryAfter = std::chrono::milliseconds(200);
 
 } // namespace
--- a/src/libjobs/admittedload.h
+++ b/src/libjobs/admittedload.h
@@ -8,13 +8,13 @@
 
 namespace cowslippin {
 
-/// How much work comes to each shard, by how long its jobs can wait: a moving
-/// mean of what was admitted.
+/// The load admitted to each shard, by how long its jobs can wait (their
+/// slack), as a moving mean.
 ///
-/// Jobs are served by their latest start, so that those of short tasks, which
-/// can wait 100 ms, go before longer ones that came earlier and can wait 600
-/// ms. A queue that looks short to the longer ones isn't: what will come and go
-/// before them takes its part of the workers first.
+/// Jobs are served by their latest start. Jobs of short tasks, which can wait
+/// 100 ms, therefore go before longer jobs that arrived earlier and can wait
+/// 600 ms. A longer job waits for more than the jobs now in front of it: short
+/// jobs that arrive meanwhile take their part of the workers first.
 class AdmittedLoad
 {
 public:
@@ -30,16 +30,16 @@
   {
   }
 
-  /// A job was admitted. `slack` is how long it could wait; `work` is what it
-  /// takes, in thousandths of a core times the clock's ticks.
+  /// Records an admitted job. `slack` is how long it could wait; `work` is what
+  /// it needs, in thousandths of a core times microseconds.
   void add(const ShardId& shard,
            const std::string& queue,
            Duration slack,
            double work,
            TimePoint now);
 
-  /// What is admitted to a shard of jobs that can wait shorter than `slack`, in
-  /// thousandths of a core.
+  /// Returns the load admitted to a shard from jobs that can wait shorter than
+  /// `slack`, in thousandths of a core.
   double before(const ShardId& shard, Duration slack, TimePoint now) const;
 
 private:
--- a/src/libjobs/carriedworkers.cpp
+++ b/src/libjobs/carriedworkers.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-/// Share of a machine that goes into its workers; the rest is for callers,
+/// Share of a machine that is used for its workers; the rest is for callers,
 /// other daemons and bursts.
 constexpr double shareForWorkers = 1.0 / 3;
-/// What a busy worker of some 16 cores takes: ten tasks a second, each with a
+/// Load of a busy worker of some 16 cores: ten tasks a second, each with a
 /// start, its part of a report and their answers.
 constexpr double tasksPerSecond = 10;
 constexpr double kilobytesPerTask = 1.1;
 constexpr double processorSecondsPerTask = 0.0001;
 constexpr double bitsPerKilobyte = 8000;
 
-/// How often `need` fits into the part of `limit` that is for workers.
+/// Returns how often `need` fits into the share of `limit` that is for workers.
 double
 fitting(double limit, double need)
 {
--- a/src/libjobs/carriedworkers.h
+++ b/src/libjobs/carriedworkers.h
@@ -4,12 +4,13 @@
 
 namespace cowslippin {
 
-/// What the machine of a daemon may use. 0 where that isn't limited.
+/// Resources that a daemon's machine may use. 0 means that a resource isn't
+/// limited.
 struct MachineLimits
 {
-  /// Processor time a second, in seconds.
+  /// Processor seconds per second.
   double cores = 0;
-  /// Of its network link, each way.
+  /// Bandwidth of the network link in each direction.
   double megabitsPerSecond = 0;
 
   friend bool operator==(const MachineLimits& a, const MachineLimits& b)
@@ -22,16 +23,17 @@
   }
 };
 
-/// No daemon holds more workers in one shard, so that the loss of one holder
-/// concerns few of a zone's jobs.
+/// Maximum number of workers per shard, so that the loss of one holder affects
+/// few of a zone's jobs.
 constexpr std::size_t mostWorkersPerShard = 40;
 
-/// How many workers a daemon on such a machine can hold, at least 1 and at most
-/// `mostWorkersPerShard`.
+/// Returns how many workers a daemon on such a machine can hold, at least 1 and
+/// at most `mostWorkersPerShard`.
 ///
-/// It answers shards whose orders fill their holder's link or processor: orders
-/// and answers then queue up, are taken for lost and are repeated, and that
-/// load keeps the queues full long after their cause.
+/// This prevents shards whose orders fill the link or the processor of their
+/// holder. Orders and answers would queue up, be taken for lost and be sent
+/// again, and that load would keep the queues full long after its cause is
+/// gone.
 std::size_t
 carriedWorkers(const MachineLimits& limits);
 
--- a/src/libjobs/crashcounts.h
+++ b/src/libjobs/crashcounts.h
@@ -6,8 +6,9 @@
 
 namespace cowslippin {
 
-/// How many workers have been lost with a run of each task, of those that have
-/// lost any. It goes with the tasks from one holder to the next.
+/// Number of workers that were lost during a run of each task, for tasks with
+/// at least one such loss. The counts pass with the tasks from one holder to
+/// the next.
 using CrashCounts = std::map<TaskIndex, unsigned>;
 
 } // namespace cowslippin
--- a/src/libjobs/evacuations.h
+++ b/src/libjobs/evacuations.h
@@ -7,12 +7,12 @@
 
 namespace cowslippin {
 
-/// The availability zones that the operators have asked to be evacuated: until
-/// that is taken back, nothing is started on their workers.
+/// The availability zones that operators have asked to be evacuated. Nothing is
+/// started on their workers until the request is taken back.
 struct Evacuations
 {
-  /// How far the platform's log of what operators ask for had been read when
-  /// this was known; 0 if it was never read.
+  /// Position in the platform's log of operator requests up to which the log
+  /// had been read when this was known; 0 if it was never read.
   std::uint64_t asOf = 0;
   std::set<ZoneName> zones;
 
--- a/src/libjobs/job.h
+++ b/src/libjobs/job.h
@@ -15,21 +15,21 @@
 
 namespace cowslippin {
 
-/// Where a task of a job stands.
+/// The state of a task.
 enum class TaskState
 {
-  /// To be started as soon as there is room.
+  /// The task is to be started as soon as there is room.
   Pending,
-  /// A run of it that a lost daemon left behind may still be at work.
+  /// A run of the task that a lost daemon left behind may still be in progress.
   Quarantined,
-  /// A run of it is at work on a worker of this daemon, or may be.
+  /// A run of the task is, or may be, in progress on a worker of this daemon.
   Running,
-  /// Returned to the submitter, who hands it to another holder.
+  /// The task was returned to the submitter, which hands it to another holder.
   Returned,
   Done,
 };
 
-/// One task of a job that this daemon is to get done.
+/// One task of a job at this daemon.
 struct JobTask
 {
   TaskIndex index = 0;
@@ -37,27 +37,30 @@
   std::uint64_t nextRun = 1;
   RestartCause restartCause = RestartCause::None;
   unsigned failures = 0;
-  /// Workers that were lost while a run of it was at work there.
+  /// Number of workers that were lost while a run of the task was in progress
+  /// there.
   unsigned crashes = 0;
-  /// Runs that were stopped because they made no progress, and whether the
-  /// present one is among them.
+  /// Number of runs that were stopped because they made no progress, and
+  /// whether the present run is being stopped for that reason.
   unsigned restarts = 0;
   bool isBeingStopped = false;
   WorkerId worker;
   std::uint64_t run = 0;
-  /// Whether the next start has the number of `run`, which was neither seen at
-  /// work nor refused, so that the worker takes both for one run.
+  /// Whether the next start has the number `run`. The start that had this
+  /// number was neither seen in progress nor rejected, so that the worker takes
+  /// both for one run.
   bool mayReuseRun = false;
-  /// When it was started or, if a lost daemon had done so, found.
+  /// When the run was started or, if a lost daemon had started it, adopted.
   TimePoint startedAt{};
   bool wasFound = false;
-  /// Share of its work that the worker last reported, and when that rose.
+  /// Progress that the worker last reported, and when it last rose.
   int percent = 0;
   TimePoint progressAt{};
   TimePoint quarantinedUntil{};
-  /// Where a run of before may be at work; empty if that isn't known.
+  /// The worker on which an earlier run may be in progress; empty if it isn't
+  /// known.
   WorkerId lastWorker;
-  /// Workers on which it failed or stood still.
+  /// Workers on which the task failed, was rejected or made no progress.
   std::set<WorkerId> avoided;
 };
 
@@ -65,95 +68,103 @@
 struct Job
 {
   JobRequest request;
-  /// When the caller's request arrived, by this daemon's clock.
+  /// When the caller's request arrived, on this daemon's clock.
   TimePoint arrivedAt{};
-  /// When the job came to this daemon.
+  /// When this daemon received the job.
   TimePoint receivedAt{};
   TimePoint expiresAt{};
-  /// See `JobRequest::exclusiveFor`. Its runs must be over by then.
+  /// The end of `JobRequest::exclusiveFor`. The job's runs must be over by
+  /// then.
   TimePoint exclusiveUntil = TimePoint::max();
   /// Expected run time of a task.
   Duration expected = Duration::zero();
-  /// When the answer is ideal at the latest, and when it is worth nothing.
+  /// Until when an answer meets the response time objective, and from when it
+  /// has no value.
   TimePoint objectiveAt{};
   TimePoint worthlessAt{};
-  /// Jobs with pending tasks are served in this order.
+  /// Jobs with pending tasks are served by their latest start, then by their
+  /// sequence number.
   TimePoint latestStart{};
   std::uint64_t sequence = 0;
   std::vector<JobTask> tasks;
   std::size_t pending = 0;
   std::size_t done = 0;
   std::size_t returned = 0;
-  /// Whether anything of it may have been started, here or elsewhere.
+  /// Whether any task may have been started, here or elsewhere.
   bool hasStarted = false;
-  /// When a daemon that had it before was lost, if one was.
+  /// When a daemon that had the job before was lost, if one was.
   TimePoint lostAt{};
-  /// Set while its submitter can't be reached: when it is given up.
+  /// When the job is abandoned. Set while its submitter can't be reached.
   std::optional<TimePoint> dropAt;
-  /// When it was last lost.
+  /// When the submitter was last lost.
   TimePoint submitterLostAt{};
 
-  /// Set while its next task waits for a report of a worker that has room.
+  /// Set while the next task waits for a report of a worker that has room.
   bool isReportDue = false;
 
   bool isOver() const { return done + returned == tasks.size(); }
 };
 
-/// Added to a run's number when another daemon may have started the task under
-/// higher numbers: more than it can have used.
+/// Added to a task's run number when another daemon may have started the task
+/// under higher numbers. It is more than that daemon can have used.
 constexpr std::uint64_t staleRunStep = 8;
 
-/// How long a run may go on after its submitter was last surely alive. A caller
-/// whose connection breaks submits again 1,300 ms later; the rest covers a
-/// worker's clock that is 2% slow.
+/// How long a run may go on after its submitter was last known to be alive. A
+/// caller whose connection breaks submits again 1,300 ms later; the difference
+/// covers a worker's clock that is 2% slow.
 constexpr Duration wantedRunLimit = std::chrono::milliseconds(1240);
 
-/// How long before a job ceases to be exclusive its runs are stopped, so that
-/// the leases of their workers, which other runs share, needn't end with them.
+/// How long before a job ceases to be exclusive its runs are stopped. Other
+/// runs share the leases of their workers, and these leases then needn't end
+/// with the job.
 constexpr Duration exclusiveMargin = std::chrono::milliseconds(60);
 
-/// Nothing of a job is started so shortly before it ceases to be exclusive: it
-/// would be stopped soon.
+/// No task is started this shortly before its job ceases to be exclusive, as it
+/// would soon be stopped.
 constexpr Duration exclusiveStartMargin = std::chrono::milliseconds(300);
 
-/// How long runs that a lost daemon left behind may go on. Its submitter has
-/// told it of itself until it noticed the loss; the margin is as above.
+/// How long the runs of a lost daemon may go on. Until their submitter noticed
+/// the loss, it reported itself alive to that daemon. The difference to 1,300
+/// ms covers a slow clock, as above.
 constexpr Duration lostRunLimit = std::chrono::milliseconds(1270);
 
 Duration
 scaled(Duration duration, double factor);
 
-/// A job that has just come, all of its tasks pending. An answer later than
-/// `worthlessFactor` times its objective is worth nothing.
+/// Returns a job that was just received, with all of its tasks pending. An
+/// answer later than `worthlessFactor` times the response time objective has no
+/// value.
 std::unique_ptr<Job>
 makeJob(JobRequest request,
         Duration expected,
         double worthlessFactor,
         TimePoint now);
 
-/// How long a job could wait, when it arrived, and still be in time.
+/// Returns how long a job could wait, from its arrival, and still meet its
+/// objective.
 Duration
 slackOf(const Job& job);
 
-/// What the job's waiting tasks take: thousandths of a core times the clock's
-/// ticks.
+/// Returns the work of the job's waiting tasks, in thousandths of a core times
+/// microseconds.
 double
 waitingWork(const Job& job);
 
-/// How many of the job's tasks run on each worker, if that is limited; else
-/// nothing.
+/// Returns how many of the job's tasks run on each worker, or nothing if that
+/// number isn't limited.
 std::map<WorkerId, unsigned>
 runsPerWorker(const Job& job);
 
-/// What the submitter is told when all tasks are done or have been returned.
-/// The done tasks are listed because the message that returned the others may
-/// have been lost with its connection.
+/// Returns what the submitter is told when all tasks are done or have been
+/// returned. The done tasks are listed because the message that returned the
+/// others may have been lost with its connection.
 JobEnd
 completedEnd(const Job& job);
 
-/// What the submitter is told when the job has to go on elsewhere: what is
-/// done, what may be at work, and which run numbers are free. `workerOf` tells
-/// the worker on which a task of a name runs, for whomever.
+/// Returns what the submitter is told when the job has to continue elsewhere:
+/// which tasks are done, which may be in progress, and which run numbers are
+/// free. `workerOf` returns the worker on which a task of a name runs, whoever
+/// submitted it.
 JobEnd
 movedEnd(
   const Job& job,
--- a/src/libjobs/jobend.h
+++ b/src/libjobs/jobend.h
@@ -11,26 +11,28 @@
 
 namespace cowslippin {
 
-/// What a job, or a part of one, has come to.
+/// How a job, or a part of one, has ended.
 enum class JobOutcome
 {
-  /// All its tasks are done or have been returned to the submitter.
+  /// All tasks are done or have been returned to the submitter.
   Completed,
-  /// A task has failed as often as it may.
+  /// A task has failed as often as its queue allows, or too many workers were
+  /// lost during its runs.
   Failed,
-  /// Nothing of it has been started, and nothing will be.
+  /// No task has been started, and none will be.
   Refused,
-  /// Its time is over; whatever ran has been stopped.
+  /// The job's time is over. Its runs have been stopped.
   TimedOut,
-  /// This daemon no longer holds the workers. Tasks that are not done may be
-  /// running under the next holder of the same workers.
+  /// The job has to continue elsewhere, as when this daemon no longer holds the
+  /// workers. Tasks that are not done may be running under the next holder of
+  /// the same workers.
   Moved,
-  /// This daemon doesn't hold the workers that the job was meant for, and has
-  /// done nothing.
+  /// This daemon doesn't hold the shard that the job was meant for and has done
+  /// nothing.
   NotHolder,
   /// A worker may still carry out a start that it didn't answer, beyond the
-  /// time that the caller waits, and the task can't be started on it. Whatever
-  /// ran has been stopped.
+  /// time that the caller waits, and the task can't be started on that worker.
+  /// The job's runs have been stopped.
   Unresolved,
 };
 
@@ -56,25 +58,26 @@
   return "unknown";
 }
 
-/// Tasks for which a holder has no room, as another one has or as its zone is
-/// evacuated. They have no run; the submitter hands them on, so that it always
-/// knows who has what.
+/// Tasks that a holder returns to the submitter, as another holder has room for
+/// them or as its own zone is being evacuated. They have no run. The submitter
+/// hands them on, so that it always knows which holder has which task.
 struct TasksReturned
 {
   std::vector<TaskIndex> tasks;
-  /// Who has room, and where; an empty id if the submitter is to choose.
+  /// The holder and the shard that have room; an empty id if the submitter is
+  /// to choose.
   VmId holder;
   ShardId shard;
-  /// Higher than the number of any run so far.
+  /// Higher than any run number used so far.
   std::uint64_t nextRun = 1;
   CrashCounts crashes = {};
 };
 
-/// A task that may be at work, and where.
+/// A task that may be in progress, and its worker.
 struct TaskPlace
 {
   TaskIndex task = 0;
-  /// Empty if it isn't known.
+  /// Empty if the worker isn't known.
   WorkerId worker;
 
   friend bool operator==(const TaskPlace& a, const TaskPlace& b)
@@ -87,21 +90,22 @@
   }
 };
 
-/// The end of a job, or of a part of one, as its submitter is told of it.
+/// The end of a job, or of a part of one, as reported to its submitter.
 struct JobEnd
 {
   JobOutcome outcome = JobOutcome::Completed;
-  /// Of `Refused` and `Unresolved`: when it makes sense to come back.
+  /// For `Refused` and `Unresolved`: the delay after which the caller should
+  /// retry.
   Duration retryAfter = Duration::zero();
-  /// Of `Moved` and `Completed`: tasks that are done. Returned tasks are not
+  /// For `Moved` and `Completed`: tasks that are done. Returned tasks are not
   /// included.
   std::vector<TaskIndex> done;
-  /// Of `Moved` and `Completed`: higher than any run number used so far.
+  /// For `Moved` and `Completed`: higher than any run number used so far.
   std::uint64_t nextRun = 1;
-  /// Of `Moved`: tasks that may be at work. Others that are not done have no
-  /// run and can start at once.
+  /// For `Moved`: tasks that may be in progress. Other tasks that are not done
+  /// have no run and can start at once.
   std::vector<TaskPlace> underWay = {};
-  /// Of `Moved` and `Completed`.
+  /// For `Moved` and `Completed`.
   CrashCounts crashes = {};
 };
 
--- a/src/libjobs/jobkey.h
+++ b/src/libjobs/jobkey.h
@@ -9,8 +9,8 @@
 
 namespace cowslippin {
 
-/// A job, or a part of its tasks, as one daemon has handed it to another. Two
-/// daemons that were sent the same job by its caller have different keys.
+/// Identifies a job, or a part of its tasks, that one daemon has submitted to
+/// another. A caller may send one job to two daemons; their keys differ.
 class JobKey
 {
 public:
@@ -22,10 +22,11 @@
   {
   }
 
-  /// The daemon that waits for the end.
+  /// The daemon that waits for the end of the job.
   const VmId& submitter() const { return m_submitter; }
   const JobId& job() const { return m_job; }
-  /// Unique among all that the submitter has handed over.
+  /// The number of the submission, unique among all that the submitter has
+  /// made.
   std::uint64_t part() const { return m_part; }
 
   friend bool operator==(const JobKey& a, const JobKey& b)
--- a/src/libjobs/joblog.h
+++ b/src/libjobs/joblog.h
@@ -7,42 +7,44 @@
 
 namespace cowslippin {
 
-/// The lines that the scheduler logs. Each has the job's id as `job`; times are
-/// in milliseconds.
+/// The scheduler's log events. Each has the job's id in the field `job`; times
+/// are in milliseconds.
 
-/// A decision on a whole job: accepted, refused, ended and the like. `end` may
-/// be null.
+/// Logs a decision on a whole job: accepted, refused, ended and the like. `end`
+/// may be null.
 void
 logJob(const char* event, const Job& job, const JobEnd* end, TimePoint now);
 
-/// The submitter is told to hand the job to another holder.
+/// Logs that the submitter is told to hand the job to another holder.
 void
 logJobMoved(const Job& job, const JobEnd& end, TimePoint now);
 
-/// The first start was sent to the task's worker.
+/// Logs that the first start was sent to the task's worker.
 void
 logTaskStarted(const Job& job, const JobTask& task, TimePoint now);
 
-/// Tasks went back to the submitter, to be handed to another holder.
+/// Logs that tasks were returned to the submitter, which hands them to another
+/// holder.
 void
 logTasksReturned(const Job& job, const TasksReturned& returned);
 
-/// A run ended, but not done.
+/// Logs that a run ended without completing its task.
 void
 logRunEnded(const Job& job, const JobTask& task, RunEnd end, TimePoint now);
 
-/// The task's worker was lost with its run.
+/// Logs that the task's worker was lost during its run.
 void
 logTaskCrashed(const Job& job, const JobTask& task);
 
-/// The submitter was not heard in time and is told that it has the job again.
+/// Logs that no message of the submitter was received in time and that the job
+/// is returned to it.
 void
 logContactLost(const Job& job, Duration age);
 
 void
 logStartRejected(const Job& job, const JobTask& task, OrderFailure failure);
 
-/// A run is stopped, as it has made no progress.
+/// Logs that a run is stopped because it has made no progress.
 void
 logRunStalled(const Job& job, const JobTask& task, TimePoint now);
 
--- a/src/libjobs/jobqueue.h
+++ b/src/libjobs/jobqueue.h
@@ -8,24 +8,24 @@
 
 namespace cowslippin {
 
-/// Jobs with tasks that wait for room: the one that must start soonest comes
-/// first, of equal ones the one that has waited longer. A job must be removed
-/// before it is destroyed.
+/// Jobs with waiting tasks, ordered by the latest time at which they must
+/// start; of equal ones the job that was added first comes first. A job must be
+/// removed before it is destroyed.
 class JobQueue
 {
 public:
-  /// Changes nothing if the job is in the queue or none of its tasks waits.
+  /// Does nothing if the job is in the queue or has no waiting task.
   void add(Job& job);
   void remove(Job& job);
 
-  /// In the order in which they are to be served.
+  /// Returns the jobs in the order in which they are served.
   std::vector<Job*> jobs() const;
 
   std::size_t waitingTasks() const;
   std::size_t waitingTasks(const ShardId& shard) const;
 
-  /// Work that waits on a shard and is served before a job that must start at
-  /// `latestStart`: thousandths of a core times the clock's ticks.
+  /// Returns the work that waits on a shard and is served before a job that
+  /// must start at `latestStart`, in thousandths of a core times microseconds.
   double workBefore(const ShardId& shard, TimePoint latestStart) const;
 
 private:
--- a/src/libjobs/jobrequest.h
+++ b/src/libjobs/jobrequest.h
@@ -21,13 +21,14 @@
 struct TaskNeeds
 {
   Resources resources;
-  /// The submitter's rough guess of a task's run time.
+  /// The submitter's rough estimate of a task's run time.
   Duration estimate = Duration::zero();
   /// A label that the worker must have; empty for any.
   std::string requiredLabel;
-  /// The rack of the task's data; empty for none.
+  /// The label of the rack that has the task's data, which is preferred; empty
+  /// for none.
   std::string preferredRack;
-  /// At most so many tasks of the job on one worker; 0 for any number.
+  /// Maximum number of tasks of the job on one worker; 0 for any number.
   unsigned maxPerWorker = 0;
 };
 
@@ -36,16 +37,17 @@
 {
   std::string queue;
   ServiceName service;
-  /// 0 goes first.
+  /// Priority 0 goes first.
   int priority = 0;
-  /// A task that has failed so often fails its job.
+  /// The job fails when one of its tasks has failed this often.
   unsigned maxAttempts = 1;
-  /// The ideal response time is `stretch` times the longest task and `target`.
+  /// The response time objective is `stretch` times the run time of the longest
+  /// task, plus `target`.
   double stretch = 1;
   Duration target = Duration::zero();
 };
 
-/// The workers of a shard as its holder told of them.
+/// The workers of a shard as its holder advertised them.
 struct ShardWorkers
 {
   ShardId shard;
@@ -61,20 +63,21 @@
   }
 };
 
-/// Runs that a lost daemon may have left behind. Until they are surely over,
-/// or all the workers have been asked, the job's tasks must not start anew.
+/// Runs that a lost daemon may have left behind. Until it is certain that they
+/// are over, or all the workers have reported, the job's tasks must not start
+/// again.
 struct Quarantine
 {
-  /// The workers which, once all have been asked, leave nothing unknown: those
-  /// of the lost daemon, as it told the submitter. None if they aren't known,
-  /// or if runs may be left on others.
+  /// The workers of the lost daemon, as it advertised them to the submitter.
+  /// Once all of them have reported, no run is unknown. Not set if they aren't
+  /// known, or if runs may be left on other workers.
   std::optional<ShardWorkers> lastHolders;
-  /// How long ago the daemon was lost. Only what workers report since then
-  /// tells what it has left behind.
+  /// Time since the daemon was lost. Only what workers report since then shows
+  /// what it has left behind.
   Duration age = Duration::zero();
   Duration remaining = Duration::zero();
-  /// The tasks that may be at work, if the daemon has told them. It is enough
-  /// for each that its own worker has been asked.
+  /// The tasks that may be in progress, if the daemon reported them. For each
+  /// of them it is enough that its own worker has reported.
   std::optional<std::vector<TaskPlace>> underWay = std::nullopt;
 };
 
@@ -84,33 +87,33 @@
   JobKey key;
   QueuePolicy policy;
   TaskNeeds needs;
-  /// Whose workers the tasks may use.
+  /// The shard whose workers the tasks may use.
   ShardId shard;
-  /// Passed to the worker as it is.
+  /// Passed to the worker unchanged.
   std::string spec;
-  /// Followed by a task's index it is the task's name.
+  /// The name of a task is this prefix followed by its index.
   std::string taskPrefix;
   std::vector<TaskIndex> tasks;
-  /// The number of the first run; rises with each start of a task.
+  /// Number of the first run. Each start of a task raises it by at least one.
   std::uint64_t firstRun = 1;
-  /// Since the caller's request arrived.
+  /// Time since the caller's request arrived.
   Duration age = Duration::zero();
-  /// Until the caller stops waiting.
+  /// Time until the caller stops waiting.
   Duration timeLeft = Duration::zero();
   std::optional<Quarantine> quarantine;
-  /// The part of the key under which the submitter has handed the same over
-  /// before; 0 if it has not. What is said of that key is no longer heeded.
+  /// The `part` of the key under which the submitter has handed over the same
+  /// tasks before; 0 if it has not. Messages about that key are then ignored.
   std::uint64_t previousPart = 0;
-  /// Whether something of the job may have run before, so that refusing it
-  /// would be false.
+  /// Whether any task of the job may have run before, so that it would be false
+  /// to refuse the job.
   bool mayHaveRun = false;
-  /// Whether its tasks may be returned to be handed to another holder. If not,
-  /// it is refused at once where there is no room at all.
+  /// Whether the tasks may be returned, to be handed to another holder. If not,
+  /// the job is refused at once where there is no room at all.
   bool mayBeReturned = true;
   CrashCounts crashes = {};
-  /// For how much longer the job can't have come to another daemon again
-  /// without that one's knowing where it is under way. No limit once the others
-  /// have been told of it.
+  /// How much longer it is certain that no other daemon receives the job again
+  /// without knowing where it is in progress. No limit once the other daemons
+  /// have been told of the job.
   Duration exclusiveFor = Duration::max();
 
   std::string taskName(TaskIndex task) const
--- a/src/libjobs/leaselog.h
+++ b/src/libjobs/leaselog.h
@@ -6,7 +6,7 @@
 
 namespace cowslippin {
 
-/// The lines on a worker's lease. A task's name begins with its job's id.
+/// Log events of a worker's lease. A task's name begins with its job's id.
 
 void
 logStrayFound(const WorkerId& worker, const RunKey& key);
--- a/src/libjobs/losslog.cpp
+++ b/src/libjobs/losslog.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// -1 if no daemon that had the job was lost.
+/// Returns -1 if no daemon that had the job was lost.
 std::int64_t
 sinceLossMs(const Job& job, TimePoint now)
 {
--- a/src/libjobs/losslog.h
+++ b/src/libjobs/losslog.h
@@ -7,14 +7,15 @@
 
 namespace cowslippin {
 
-/// The lines on what becomes of jobs and tasks after a loss, and how often
-/// tasks were started again for which cause.
+/// Logs what happens to jobs and tasks after a loss, and counts by cause how
+/// often tasks were started again.
 class LossLog
 {
 public:
   using Counts = std::map<RestartCause, std::uint64_t>;
 
-  /// A start was sent to the task's worker. `previous` had the run before.
+  /// Records that a start was sent to the task's worker. `previous` is the
+  /// worker of the run before.
   void taskStarted(const Job& job,
                    const JobTask& task,
                    const WorkerId& previous,
@@ -26,34 +27,37 @@
   Counts m_restarts;
 };
 
-/// A run that a lost daemon had left was taken into the job.
+/// Logs that an orphaned run was adopted into the job.
 void
 logRunAdopted(const Job& job, const JobTask& task, TimePoint now);
 
-/// A job has come of which a task is done already.
+/// Logs that a task of a new job was found to be done already.
 void
 logFoundDone(const Job& job, const JobTask& task, TimePoint now);
 
-/// A task is kept from being started while a run of before may be at work.
+/// Logs that a task is kept from being started while an earlier run may be in
+/// progress.
 void
 logQuarantined(const Job& job, const JobTask& task, TimePoint now);
 
-/// Such a task is done, or may be started again by its `restartCause`.
+/// Logs that a quarantined task is done, or may be started again for its
+/// `restartCause`.
 void
 logQuarantineEnded(const Job& job,
                    const JobTask& task,
                    bool isDone,
                    TimePoint now);
 
-/// The submitter was lost and has not come back.
+/// Logs that a job is dropped because its submitter was lost and has not come
+/// back.
 void
 logJobAbandoned(const Job& job, TimePoint now);
 
-/// The submitter no longer wants the job.
+/// Logs that the submitter no longer wants the job.
 void
 logJobCancelled(const Job& job, TimePoint now);
 
-/// The submitter was lost and goes on with the job under a new key.
+/// Logs that the submitter was lost and continues the job under a new key.
 void
 logJobReattached(const Job& job, TimePoint now);
 
--- a/src/libjobs/peerplaces.cpp
+++ b/src/libjobs/peerplaces.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Places of a shard that its holder keeps for jobs of its own.
+/// Number of slots of a shard that are left to its holder for jobs of its own.
 constexpr unsigned holdersReserve = 1;
 
 } // namespace
--- a/src/libjobs/peerplaces.h
+++ b/src/libjobs/peerplaces.h
@@ -8,12 +8,12 @@
 
 namespace cowslippin {
 
-/// Free places on the shards of other holders, as they told last, less what has
-/// been sent there since.
+/// Free slots on the shards of other holders: what the holders last advertised,
+/// less what has been sent there since.
 class PeerPlaces
 {
 public:
-  /// A shard with places to give.
+  /// A shard that has slots to offer.
   struct Offer
   {
     VmId holder;
@@ -25,10 +25,11 @@
   void forget(const VmId& holder);
   void forget(const ZoneName& zone);
 
-  /// The shard that has most places to give, if any has one.
+  /// Returns the shard that offers the most slots, if any shard offers one.
   std::optional<Offer> best() const;
 
-  /// Counts a place of the shard as used. False if it has none to give.
+  /// Counts one slot of the shard as used. Returns false if the shard offers
+  /// none.
   bool take(const ShardId& shard);
 
 private:
--- a/src/libjobs/restartcause.h
+++ b/src/libjobs/restartcause.h
@@ -2,31 +2,33 @@
 
 namespace cowslippin {
 
-/// Why a task may be started although it may have been started before.
+/// Why a task that may have been started before may be started again.
 enum class RestartCause
 {
-  /// It has not been started, as far as is known.
+  /// The task has not been started, as far as is known.
   None,
   /// The last run failed.
   Failed,
   /// The worker was lost with the last run.
   WorkerLost,
-  /// The lease of a worker that doesn't answer ran out.
+  /// The lease of a worker that doesn't answer expired.
   Lapsed,
-  /// The worker doesn't have the last run, or stopped it.
+  /// The worker reported that it doesn't have the last run, or stopped it.
   RunLost,
   /// The last run was stopped because it made no progress.
   Stalled,
-  /// The worker knows a run with a higher number.
+  /// The worker knows a run of the task with a higher number.
   StaleRun,
   /// Another daemon had the job before, and no run of the task is known.
   HandedOver,
-  /// After the loss of a daemon: the worker that had the last run told that it
-  /// has none.
+  /// After the loss of a daemon: the worker that had the last run reported that
+  /// it has none.
   WorkerTold,
-  /// The same of all workers of the lost daemon's shard.
+  /// After the loss of a daemon: all workers of its shard reported that they
+  /// have no run of the task.
   ShardClaimed,
-  /// After the loss of a daemon: nobody told, but its runs are over by now.
+  /// After the loss of a daemon: nothing was reported, but its runs are over by
+  /// now.
   TimePassed,
 };
 
--- a/src/libjobs/runtimes.cpp
+++ b/src/libjobs/runtimes.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// The mean is exact for so many samples and moves on from then.
+/// Number of samples up to which the mean is exact; a moving mean from then on.
 constexpr unsigned meanSamples = 100;
-/// One slow worker shouldn't stretch what is expected of all.
+/// Limits a sample, so that one slow worker doesn't raise what is expected of
+/// all.
 constexpr double maxRatio = 3;
-/// Tasks without an estimate are taken for this long until some have run.
+/// Estimate for tasks that have none, until some have run.
 constexpr Duration defaultEstimate = std::chrono::milliseconds(100);
 
 Duration
--- a/src/libjobs/runtimes.h
+++ b/src/libjobs/runtimes.h
@@ -7,15 +7,15 @@
 
 namespace cowslippin {
 
-/// Learns how far the estimates of each queue are off, from runs that ended
-/// well.
+/// Learns how far the estimates of each queue are off, from runs that completed
+/// their task.
 class RunTimes
 {
 public:
-  /// A run of this queue took `actual` where `estimate` was given.
+  /// Records that a run of this queue took `actual` where `estimate` was given.
   void record(const std::string& queue, Duration estimate, Duration actual);
 
-  /// What a task with this estimate is expected to take.
+  /// Returns how long a task with this estimate is expected to run.
   Duration expected(const std::string& queue, Duration estimate) const;
 
 private:
--- a/src/libjobs/scheduler.cpp
+++ b/src/libjobs/scheduler.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Weight of the newest task in the mean of what tasks need.
+/// Weight of the newest task in the moving mean of task sizes.
 constexpr double sizeWeight = 0.05;
 
 RestartCause
@@ -106,8 +106,10 @@
   pump(now);
 }
 
-/// The submitter of a job that is given up may have handed it to another
-/// daemon: being heard again renews nothing.
+/// Returns until when the lease of a run may be renewed, or nothing if it may
+/// not. It may not be renewed for a job whose submitter was lost, even if
+/// messages from it are received again: it may have handed the job to another
+/// daemon.
 std::optional<TimePoint>
 Scheduler::wantedUntil(const RunKey& key) const
 {
@@ -126,7 +128,8 @@
   return now - m_hooks.lastContact(job.request.key.submitter());
 }
 
-/// Whether the submitter surely wants the job now.
+/// Whether it is certain that the submitter wants the job at present, so that
+/// its tasks may start.
 bool
 Scheduler::mayStart(const Job& job, TimePoint now) const
 {
@@ -135,7 +138,9 @@
          now <= job.exclusiveUntil - exclusiveStartMargin;
 }
 
-/// A submitter that has just come may not have been heard yet.
+/// Whether messages from the submitter arrive too late. A new submitter may not
+/// have sent any yet, so its contact counts as no older than the receipt of the
+/// job.
 bool
 Scheduler::hasLostContact(const Job& job, TimePoint now) const
 {
@@ -144,8 +149,8 @@
          since > m_settings.contactLimit;
 }
 
-/// Takes a run of the task that is on a held worker into the job. False if
-/// there is none.
+/// Adopts an orphaned run of the task on a held worker. Returns false if there
+/// is none.
 bool
 Scheduler::adoptRun(Job& job, std::size_t position, TimePoint now)
 {
@@ -165,8 +170,8 @@
   return true;
 }
 
-/// Takes over the runs of a job that a lost daemon left on workers that are now
-/// held here.
+/// Adopts the runs of a job that a lost daemon left on workers now held here,
+/// and quarantines the tasks for which none is found.
 void
 Scheduler::findRuns(Job& job, TimePoint now)
 {
@@ -190,7 +195,8 @@
   }
 }
 
-/// Keeps a task from being started while a run of before may be at work.
+/// Keeps a task from being started while an earlier run of it may be in
+/// progress.
 void
 Scheduler::quarantine(Job& job, JobTask& task, TimePoint now)
 {
@@ -210,8 +216,8 @@
   leavePending(job, task, TaskState::Quarantined);
   task.quarantinedUntil = now + quarantine->remaining;
   logQuarantined(job, task, now);
-  // A report from before the loss doesn't count, and the next one would come
-  // when the run, taken for nobody's, is being stopped.
+  // A report from before the loss doesn't count. The next regular report would
+  // arrive when the run, considered orphaned, is already being stopped.
   if (const auto worker = m_pool.workerOf(job.request.taskName(task.index)))
     m_pool.refresh(*worker, now);
 }
@@ -340,9 +346,10 @@
   }
 }
 
-/// Runs of a job that goes on here may be at work on a shard that is given up,
-/// when its zone has been divided anew. The next holder stops them; until they
-/// are surely over their tasks don't start again.
+/// Quarantines the tasks of a job that stays here but has runs on a shard that
+/// is released, as happens when its zone is divided anew. The next holder stops
+/// those runs. Until they are certain to be over, their tasks don't start
+/// again.
 void
 Scheduler::leaveRunsBehind(Job& job, const ShardId& shard)
 {
@@ -366,9 +373,9 @@
   }
 }
 
-/// A submitter that had lost the connection for a moment goes on under a new
-/// key. Tasks that it has again were returned without its knowledge. False if
-/// nothing of it is here.
+/// Continues a job under a new key after its submitter had lost the connection
+/// for a moment. Tasks that the submitter lists again had been returned in a
+/// message that it didn't receive. Returns false if no part of the job is here.
 bool
 Scheduler::attach(const JobRequest& request)
 {
@@ -572,7 +579,7 @@
 {
   JobTask& task = job.tasks[position];
   const std::string name = job.request.taskName(task.index);
-  // A run of the same task that another submitter left is still being stopped.
+  // A run of the same task, left by another submitter, is still being stopped.
   if (m_pool.isRunning(name)) {
     adoptPending(job, position, now);
     return true;
@@ -621,13 +628,13 @@
   limits.mustBeIdle = task.crashes >= m_settings.suspectCrashes;
   limits.toldUntil = m_hooks.toldUntil(job.request.key.submitter());
   limits.leasedUntil = job.exclusiveUntil;
-  // No worker has an empty id.
+  // An empty id matches no worker.
   if (binding)
     limits.boundTo = binding->worker.value_or(WorkerId());
   return limits;
 }
 
-/// Takes over the run of a pending task whose unresolved start was carried out.
+/// Adopts the run of a pending task whose unresolved start was carried out.
 void
 Scheduler::adoptPending(Job& job, std::size_t position, TimePoint now)
 {
@@ -650,15 +657,16 @@
       : m_usualCpuMillis * (1 - sizeWeight) + size * sizeWeight;
 }
 
-/// Where tasks of the job could go instead, if they may.
+/// Returns the holder to which tasks of the job could go instead, if they may
+/// be returned and some holder has room.
 std::optional<PeerPlaces::Offer>
 Scheduler::offerFor(const Job& job) const
 {
   return job.request.mayBeReturned ? m_peerPlaces.best() : std::nullopt;
 }
 
-/// Whether the task waits and no run of it, not even another submitter's, is
-/// here or may begin.
+/// Whether the task is pending and no run of it, whoever submitted it, is on a
+/// held worker or may still begin.
 bool
 Scheduler::isFree(const Job& job, const JobTask& task) const
 {
@@ -683,8 +691,8 @@
   returnTasks(job, returned);
 }
 
-/// Gives back what waits on the workers of an evacuated zone: its submitter
-/// finds another holder or, where nothing was started, may refuse the caller.
+/// Returns the waiting tasks of a job in an evacuated zone. The submitter finds
+/// another holder or, if nothing was started, may refuse the caller.
 void
 Scheduler::leaveEvacuated(Job& job)
 {
@@ -700,7 +708,7 @@
   returnTasks(job, returned);
 }
 
-/// Tells the submitter of tasks that it has again.
+/// Returns tasks to the submitter and marks them as returned.
 void
 Scheduler::returnTasks(Job& job, const TasksReturned& tasks)
 {
@@ -745,8 +753,9 @@
     setPending(job, task);
 }
 
-/// A worker was lost while a run of the task was at work there. Others that ran
-/// beside it are counted as well; alone on a worker they clear themselves.
+/// Counts a worker that was lost while a run of the task was in progress there.
+/// Other tasks that ran beside it are counted as well. After several losses a
+/// task runs alone on its worker, which shows whether it is the cause.
 void
 Scheduler::taskCrashed(Job& job, JobTask& task)
 {
@@ -812,7 +821,7 @@
   setPending(job, task);
 }
 
-/// The task waits to be started again, on the same worker only.
+/// Makes the task wait to be started again, on the same worker only.
 void
 Scheduler::startUnresolved(const UnresolvedStart& start)
 {
@@ -829,7 +838,7 @@
   setPending(job, task);
 }
 
-/// Notes whether a copy of the start may still be carried out.
+/// Records and announces the start if a copy of it may still be carried out.
 void
 Scheduler::noteCopies(const WorkerId& worker, const RunKey& key)
 {
@@ -942,8 +951,8 @@
   checkProgress(job, now);
 }
 
-/// Until when some task of the job can't be started anywhere, if that is beyond
-/// the time that its caller waits.
+/// Returns until when some task of the job can't be started anywhere, if that
+/// is after the end of its caller's wait.
 std::optional<TimePoint>
 Scheduler::unresolvedUntil(const Job& job) const
 {
@@ -962,8 +971,8 @@
   return std::nullopt;
 }
 
-/// Stops what runs of the job while there is time for that, and tells the
-/// submitter, which may be there and hand it over again.
+/// Stops the job's runs while there is time for that and reports this to the
+/// submitter, which may be alive and hand the job over again.
 void
 Scheduler::giveBack(Job& job, TimePoint now)
 {
@@ -977,7 +986,8 @@
          }));
 }
 
-/// Takes up or releases quarantined tasks. False if that ended the job.
+/// Adopts the runs of quarantined tasks, or ends the quarantine once the tasks
+/// may be started again. Returns false if that ended the job.
 bool
 Scheduler::endQuarantine(Job& job, TimePoint now)
 {
@@ -996,7 +1006,8 @@
       if (isLast)
         return false;
     } else if (m_pool.isRunning(name)) {
-      // It is being stopped, which the next holder of its worker may prevent.
+      // The run is being stopped, but the next holder of its worker may prevent
+      // that.
       continue;
     } else if (const auto cause = causeToRestart(job, task, now);
                cause != RestartCause::None) {
@@ -1008,7 +1019,8 @@
   return true;
 }
 
-/// Nothing while a run of before may be at work.
+/// Returns why a quarantined task may be started again, or `None` while an
+/// earlier run may be in progress.
 RestartCause
 Scheduler::causeToRestart(const Job& job,
                           const JobTask& task,
@@ -1021,8 +1033,8 @@
                                       : RestartCause::None;
 }
 
-/// Whether no run of before can be at work, as the workers on which it may be
-/// have told. That the platform doesn't list a worker says nothing.
+/// Whether the workers that may have an earlier run of the task have reported
+/// that it is over. That the platform doesn't list a worker proves nothing.
 bool
 Scheduler::isSurelyOver(const Job& job, const JobTask& task) const
 {
--- a/src/libjobs/scheduler.h
+++ b/src/libjobs/scheduler.h
@@ -22,105 +22,123 @@
 
 namespace cowslippin {
 
-/// Gets jobs done on the workers of the shards that this daemon holds. Jobs
-/// wait in one queue, the one that must start soonest first; what finds no room
-/// here is returned to be handed to a holder that has some. It does no input or
-/// output and reads no clock.
+/// Runs jobs on the workers of the shards that this daemon holds. The daemon
+/// that holds a shard is called its holder. Jobs with waiting tasks are in one
+/// queue, ordered by the latest time at which they must start. Tasks that find
+/// no room here are returned to their submitter, which hands them to a holder
+/// that has room. The class does no input or output and reads no clock: the
+/// caller passes the time to each function.
 class Scheduler
 {
 public:
   struct Settings
   {
     WorkerPool::Settings pool;
-    /// A job that has to wait so long that it takes more than this many times
-    /// its ideal time is refused at once.
+    /// A job is refused on arrival if its expected response time is more than
+    /// this many times its objective.
     double refusalFactor = 1.25;
-    /// Up to this many times the ideal response time an answer has some worth.
+    /// An answer later than this many times the response time objective has no
+    /// value: a job that has not started is refused once it can't be done by
+    /// then.
     double worthlessFactor = 3;
-    /// Share of the workers' capacity that can be used, as tasks don't fill
-    /// workers exactly: 13.6 of 16 cores with two tasks of 6.8.
+    /// Share of the workers' capacity that is used for planning. Tasks don't
+    /// fill workers exactly: for example, two tasks of 6.8 cores use 13.6 of 16
+    /// cores.
     double usableShare = 0.82;
-    /// How long the runs of a submitter that can't be reached go on. With the
-    /// time that a stop takes it is well below the 1,300 ms after which a
-    /// caller submits again.
+    /// How long the runs of a submitter go on after it became unreachable.
+    /// Together with the time that a stop takes, this is well below the 1,300
+    /// ms after which a caller submits its job again.
     Duration detachedLimit = std::chrono::milliseconds(200);
-    /// The same when it has been silent for the silence limit between daemons,
-    /// 450 ms: with the lease of a worker that can't be reached either, the sum
-    /// is 450 + 50 + 765 = 1,265 ms.
+    /// The same for a submitter from which nothing was received for the silence
+    /// limit between daemons, 450 ms. If the worker can't be reached either,
+    /// its lease has to expire as well: 450 + 50 + 765 = 1,265 ms in total.
     Duration silentDetachedLimit = std::chrono::milliseconds(50);
-    /// A run is stopped and started elsewhere when it has made no progress for
-    /// this many times its expected time and `stallMargin`.
+    /// A run is stopped, and its task started again elsewhere, when the run has
+    /// made no progress for this many times its expected run time plus
+    /// `stallMargin`.
     double stallFactor = 2.0;
     Duration stallMargin = std::chrono::milliseconds(150);
     unsigned maxRestarts = 3;
-    /// A task with which so many workers were lost runs on a worker of its own:
-    /// it may be what ends them.
+    /// A task during whose runs this many workers were lost gets a worker of
+    /// its own, as the task may be what crashes them.
     unsigned suspectCrashes = 2;
-    /// A task with which so many workers were lost is given up, and its job
-    /// has failed.
+    /// A task during whose runs this many workers were lost is given up, and
+    /// its job fails.
     unsigned mostCrashes = 3;
-    /// A job whose submitter was heard so long ago is given back to it: what
-    /// comes from there is late.
+    /// A job is returned to its submitter when the submitter's last contact is
+    /// older than this, because messages from it arrive late.
     Duration contactLimit = std::chrono::milliseconds(850);
-    /// Nothing is started for a submitter that was heard so long ago. A run
-    /// has at least the lease that its worker has by then, as leases are never
-    /// shortened: together they make up `wantedRunLimit`.
+    /// Nothing is started for a submitter whose last contact is older than
+    /// this. A run lasts at least as long as the lease that its worker already
+    /// has, as leases are never shortened. This limit and the lease time add up
+    /// to `wantedRunLimit`.
     Duration startContactLimit = std::chrono::milliseconds(490);
-    /// How long ends that nobody asked for are kept for who may ask.
+    /// How long the end of an orphaned run is remembered for a job that may ask
+    /// for its task.
     Duration strayEndsKept = std::chrono::seconds(2);
   };
 
-  /// None may be empty.
+  /// All hooks must be set.
   struct Hooks
   {
     WorkerOrders orders;
-    /// Tells the submitter. Nothing more comes of this job.
+    /// Reports the end of a job to its submitter. This is the last report on
+    /// the job.
     std::function<void(const JobKey&, const JobEnd&)> ended;
-    /// Returns tasks to the submitter, with where to hand them.
+    /// Returns tasks to the submitter and names the holder to hand them to.
     std::function<void(const JobKey&, const TasksReturned&)> returned;
-    /// See `WorkerPool`.
+    /// Returns a fencing token higher than any known one, see
+    /// `WorkerPool::Hooks`.
     std::function<FencingToken(unsigned refusals)> higherToken;
-    /// Other holders are to know of this start, as its job may come to them.
+    /// Announces a start of unknown outcome to the other holders, as its job
+    /// may be handed to them.
     std::function<void(const UnresolvedStart&)> startUnresolved;
-    /// A worker of a held shard was taken by another daemon.
+    /// Another daemon has claimed a worker of a shard held here.
     std::function<void(const ShardId&)> fenced;
-    /// When a submitter, this daemon included, was surely alive and knew which
-    /// of its callers were there, by this daemon's clock. Long ago if that was
-    /// never heard.
+    /// Returns when a submitter, which may be this daemon, was last known to be
+    /// alive and to know which of its callers were connected, on this daemon's
+    /// clock. Returns a time long ago if no message from it was ever received.
     std::function<TimePoint(const VmId&)> lastContact;
-    /// Until when a submitter has been told which workers are held here, by
-    /// this daemon's clock; always this daemon itself.
+    /// Returns up to which time the workers held here have been advertised to a
+    /// submitter, on this daemon's clock: the submitter knows the workers that
+    /// were added before. This daemon itself always knows them.
     std::function<TimePoint(const VmId&)> toldUntil;
   };
 
   Scheduler(VmId self, Settings settings, Hooks hooks);
 
   void submit(JobRequest request, TimePoint now);
-  /// The caller is gone: whatever runs is stopped, and no end is told.
+  /// Stops the runs of a job whose caller has disconnected. No end is reported.
   void cancel(const JobKey& key, TimePoint now);
-  /// The other daemons have been told of a job.
+  /// Lifts the limit of `JobRequest::exclusiveFor`, as the other daemons have
+  /// been told of the job.
   void keep(const JobKey& key, TimePoint now);
-  /// A daemon can't be reached: its jobs end soon unless it submits them again.
+  /// Called when a daemon has become unreachable: its jobs are abandoned soon
+  /// unless it submits them again. `wasSilent` says that nothing was received
+  /// from it for the silence limit; otherwise its connection was lost.
   void daemonLost(const VmId& vm, bool wasSilent, TimePoint now);
-  /// A submitter that had not been heard for a while has been.
+  /// Called when a message is received from a submitter after a gap: starts the
+  /// tasks that waited for it.
   void contactRenewed(TimePoint now);
 
-  /// See `WorkerPool`.
+  /// Sets the platform's list of workers, see `WorkerPool::setList`.
   void setList(const WorkerList& list, TimePoint now);
-  /// The availability zones on whose workers nothing may be started. What waits
-  /// there goes back to its submitters at once.
+  /// Sets the availability zones that are being evacuated. Nothing is started
+  /// on their workers, and tasks waiting for them are returned to their
+  /// submitters at once.
   void setEvacuated(const std::set<ZoneName>& zones, TimePoint now);
   bool isEvacuated(const ZoneName& zone) const
   {
     return m_pool.isEvacuated(zone);
   }
   std::set<ShardId> shards() const { return m_pool.shards(); }
-  /// See `ShardMap`.
+  /// Sets the maximum number of workers per shard in each zone.
   void setBounds(const std::map<ZoneName, std::size_t>& bounds)
   {
     m_pool.setBounds(bounds);
   }
-  /// See `ShardMap`. If it is true, `shards` are others.
+  /// Adopts the number of shards into which another daemon divides a zone, see
+  /// `ShardMap::adopt`. Returns true if this changes `shards`.
   bool adoptDivision(const ShardId& shard)
   {
     return m_pool.adoptDivision(shard);
@@ -134,25 +152,28 @@
   {
     return m_pool.digest(shard);
   }
-  /// The listed workers of a shard, held here or not.
+  /// Returns the listed workers of a shard, whether or not it is held here.
   std::vector<WorkerRecord> workersOf(const ShardId& shard) const
   {
     return m_pool.workersOf(shard);
   }
-  /// Gives a shard up; its jobs move on to the next holder.
+  /// Releases a shard. Its jobs end as `JobOutcome::Moved` and continue under
+  /// the next holder.
   void releaseShard(const ShardId& shard, TimePoint now);
   bool holds(const ShardId& shard) const { return m_pool.holds(shard); }
 
-  /// Places that another holder has on a shard, as it told last.
+  /// Sets the free slots of a shard as its holder, another daemon, last
+  /// advertised them. Ignored for a zone that is being evacuated.
   void setPeerPlaces(const VmId& vm, const ShardId& shard, unsigned places)
   {
     if (!m_pool.isEvacuated(shard.zone()))
       m_peerPlaces.set(vm, shard, places);
   }
   void forgetPeer(const VmId& vm) { m_peerPlaces.forget(vm); }
-  /// Another holder has told of this start.
+  /// Adds a start of unknown outcome that another holder has announced.
   void addUnresolved(const UnresolvedStart& start) { m_unresolved.add(start); }
-  /// All that are known, those that others have told of included.
+  /// Returns all known starts of unknown outcome, including those that other
+  /// holders have announced.
   const UnresolvedStarts& unresolvedStarts() const { return m_unresolved; }
 
   void holdAnswered(const WorkerId& worker,
@@ -167,19 +188,19 @@
                     const RunKey& key,
                     const OrderAnswer& answer,
                     TimePoint now);
-  /// After a pause of the process: ends every job of other daemons, which have
-  /// given this one up, and starts nothing before `resume`.
+  /// Called after the process was paused: cancels all jobs of other daemons, as
+  /// these have given this daemon up, and starts nothing before `resume`.
   void suspend(TimePoint now);
   void resume(TimePoint now);
   void tick(TimePoint now);
 
-  /// Free places of a shard for a task of the usual size, less what waits for
-  /// them.
+  /// Returns the number of free slots of a shard for tasks of the usual size,
+  /// less the tasks that already wait for them.
   unsigned sparePlaces(const ShardId& shard, TimePoint now) const;
-  /// How long a job would wait for its places if it came now.
+  /// Returns how long a job would wait for its slots if it arrived now.
   Duration expectedWait(const Job& job, TimePoint now) const;
   std::size_t jobCount() const { return m_jobs.size(); }
-  /// The daemons whose jobs these are.
+  /// Returns the daemons that have submitted the present jobs.
   std::set<VmId> submitters() const;
   IdList jobsOf(const VmId& submitter) const;
   const LossLog::Counts& restarts() const { return m_losses.restarts(); }
@@ -238,7 +259,7 @@
   void runActive(const WorkerId& worker, const RunKey& key, int percent);
   void learn(const Job& job, const JobTask& task, const WorkerId& worker);
   void finish(Job& job, const JobEnd& end);
-  /// Ends what a job has under way and forgets it.
+  /// Stops the runs of a job and removes it.
   void drop(Job& job);
   void tickJobs(TimePoint now);
   void tickJob(Job& job, TimePoint now);
@@ -265,9 +286,10 @@
   UnresolvedStarts m_unresolved;
   PeerPlaces m_peerPlaces;
   LossLog m_losses;
-  /// Tasks that were found done without a job that had asked.
+  /// Tasks whose orphaned run was reported done when no job had asked for them,
+  /// with the time of the report.
   std::unordered_map<std::string, TimePoint> m_strayDone;
-  /// Moving mean of what a task needs.
+  /// Moving mean of the CPU that a task needs, in thousandths of a core.
   double m_usualCpuMillis = 0;
   bool m_isSuspended = false;
   bool m_isPumping = false;
--- a/src/libjobs/shardmap.cpp
+++ b/src/libjobs/shardmap.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// How far the number of workers must be beyond the bound of another number of
-/// shards.
+/// Share by which the number of workers must pass the limit for another number
+/// of shards.
 constexpr double hysteresis = 0.2;
 
 unsigned
@@ -21,7 +21,7 @@
   return count;
 }
 
-/// Whether a zone with so many workers has to be divided into another number
+/// Whether a zone with this many workers has to be divided into another number
 /// of shards.
 bool
 mustChange(unsigned count, std::size_t workers, std::size_t bound)
--- a/src/libjobs/shardsizes.cpp
+++ b/src/libjobs/shardsizes.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// A machine that is restarted or replaced is back within this.
+/// How long a higher maximum must be possible before it is applied. A machine
+/// that is restarted or replaced is back within this time.
 constexpr Duration raiseAfter = std::chrono::seconds(20);
 
 } // namespace
--- a/src/libjobs/shardsizes.h
+++ b/src/libjobs/shardsizes.h
@@ -8,23 +8,23 @@
 
 namespace cowslippin {
 
-/// How many workers a shard of each zone may have: as many as the weakest of
+/// The maximum number of workers per shard in each zone: what the weakest of
 /// the zone's daemons can hold, so that any of them can take any shard. All
-/// daemons have to divide a zone alike, and each division anew moves jobs: a
-/// bound falls at once and rises only when it has been higher for a while, so
-/// that a weak daemon that restarts changes nothing.
+/// daemons have to divide a zone alike, and every new division moves jobs. A
+/// maximum therefore falls at once but rises only after it could have been
+/// higher for a while, so that a weak daemon that restarts changes nothing.
 class ShardSizes
 {
 public:
-  /// What the weakest daemon of each zone that can be heard can hold. True if
-  /// some bound has changed.
+  /// Updates the maximums. `weakest` is how many workers the weakest reachable
+  /// daemon of each zone can hold. Returns true if some maximum has changed.
   bool update(const std::map<ZoneName, std::size_t>& weakest, TimePoint now);
 
   const std::map<ZoneName, std::size_t>& bounds() const { return m_bounds; }
 
 private:
   std::map<ZoneName, std::size_t> m_bounds;
-  /// Since when all of a zone's daemons can hold more than its bound.
+  /// Since when all of a zone's daemons can hold more workers than the maximum.
   std::map<ZoneName, TimePoint> m_higherSince;
 };
 
--- a/src/libjobs/unresolvedstarts.h
+++ b/src/libjobs/unresolvedstarts.h
@@ -14,8 +14,8 @@
 
 namespace cowslippin {
 
-/// A start that its worker didn't answer and may still carry out before `until`
-/// if it restarts under its id.
+/// A start of unknown outcome: its worker didn't answer and may still carry it
+/// out before `until` if the worker restarts under its id.
 struct UnresolvedStart
 {
   RunKey key;
@@ -33,20 +33,21 @@
 };
 
 /// Unresolved starts by task. A task that has one may be started only on the
-/// same worker, as any other could run it at the same time. A start stays until
-/// it expires, also when a run of its number is seen: another holder may have
-/// sent it more than once. It reads no clock.
+/// same worker, as another worker could run it at the same time. A start is
+/// kept until it expires, even when a run of its number is reported, because
+/// another holder may have sent it more than once. The class reads no clock.
 class UnresolvedStarts
 {
 public:
   /// Where a task may be started while it has unresolved starts.
   struct Binding
   {
-    /// Nothing if they were sent to several workers, so that none is safe.
+    /// Not set if the starts were sent to several workers, so that no worker is
+    /// safe.
     std::optional<WorkerId> worker;
-    /// When the last of them expires.
+    /// When the last of the starts expires.
     TimePoint until{};
-    /// Higher than the number of any of them.
+    /// Higher than the run number of any of the starts.
     std::uint64_t nextRun = 1;
   };
 
@@ -54,13 +55,14 @@
   /// Removes the starts that can no longer be carried out.
   void expire(TimePoint now);
 
-  /// Nothing if the task may be started anywhere.
+  /// Returns nothing if the task may be started on any worker.
   std::optional<Binding> binding(const std::string& task) const;
   std::vector<UnresolvedStart> all() const;
   bool isEmpty() const { return m_starts.empty(); }
 
 private:
-  /// Runs of two submissions of a job may have the same number.
+  /// The worker is part of the key, as runs of two submissions of a job may
+  /// have the same number.
   std::map<std::pair<RunKey, WorkerId>, TimePoint> m_starts;
 };
 
--- a/src/libjobs/workerorders.h
+++ b/src/libjobs/workerorders.h
@@ -6,8 +6,8 @@
 
 namespace cowslippin {
 
-/// Sends orders to workers. The answer, or that none came within the time
-/// given, is told to whoever has sent the order. None may be empty.
+/// Sends orders to workers. The sender of an order is told the answer, or that
+/// none came within the given time. All functions must be set.
 struct WorkerOrders
 {
   std::function<void(const WorkerRecord&, const HoldOrder&, Duration)> hold;
--- a/src/libjobs/workerpool.cpp
+++ b/src/libjobs/workerpool.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Whether the worker is one of those that the job's queue and tasks ask for.
+/// Whether the worker has the service and the label that the job requires.
 bool
 isOfKind(const WorkerRecord& worker, const JobRequest& request)
 {
@@ -21,7 +21,7 @@
          (label.empty() || worker.hasLabel(label));
 }
 
-/// Whether all that was begun on a worker before is known.
+/// Whether all runs that were started on the worker before `since` are known.
 bool
 hasReportedSince(const WorkerLease& lease, TimePoint since)
 {
@@ -509,8 +509,8 @@
   return hooks;
 }
 
-/// A worker that has started again is claimed anew at once. How well it worked
-/// in its earlier life says nothing of this one.
+/// Claims a restarted worker again at once. The health of its earlier
+/// incarnation says nothing about the new one.
 void
 WorkerPool::claimRestarted(const WorkerId& id, Entry& entry, TimePoint now)
 {
--- a/src/libjobs/workerpool.h
+++ b/src/libjobs/workerpool.h
@@ -17,29 +17,30 @@
 
 namespace cowslippin {
 
-/// What limits the choice of a worker for a task.
+/// Constraints on the choice of a worker for a task.
 struct WorkerLimits
 {
-  /// Taken only if no other has room.
+  /// Workers that are chosen only if no other worker has room.
   std::set<WorkerId> avoided;
-  /// Runs of the job on each worker, if their number is limited.
+  /// Number of the job's runs on each worker, if that number is limited.
   std::map<WorkerId, unsigned> perWorker;
-  /// Whether only one that runs nothing will do.
+  /// Whether only a worker without any runs may be chosen.
   bool mustBeIdle = false;
-  /// None is taken that has come later: the submitter doesn't know of it, and
-  /// would not miss it among the workers of the next holder.
+  /// Workers added after this time are not chosen: the submitter doesn't know
+  /// them and would not notice that they are missing among the workers of the
+  /// next holder.
   TimePoint toldUntil{};
-  /// The only one that may be taken, and only right after a prompt report: it
-  /// may still carry out an earlier start of the task, which another worker
-  /// would run at the same time.
+  /// The only worker that may be chosen, and only right after a prompt report.
+  /// It may still carry out an earlier start of the task, which would run at
+  /// the same time as one on another worker.
   std::optional<WorkerId> boundTo = std::nullopt;
-  /// None is taken whose lease lasts longer: leases are never shortened, and a
-  /// run has that of its worker.
+  /// Workers whose lease lasts longer are not chosen: leases are never
+  /// shortened, and a run lasts as long as the lease of its worker.
   TimePoint leasedUntil = TimePoint::max();
 };
 
-/// The workers of the shards that this daemon holds: their leases, how well
-/// they work, and the choice among them.
+/// The workers of the shards that this daemon holds: their leases, their
+/// health, and the choice among them.
 class WorkerPool
 {
 public:
@@ -48,59 +49,61 @@
     WorkerLease::Settings lease;
     WorkerHealth::Settings health;
     AnswerTimes::Settings answers;
-    /// The wait before a worker that another daemon took, though that daemon
-    /// doesn't hold the shard, is taken back.
+    /// How long to wait before claiming back a worker that another daemon has
+    /// claimed although that daemon doesn't hold the shard.
     Duration reclaimAfter = std::chrono::milliseconds(300);
-    /// The wait doubles with every time up to this.
+    /// The wait doubles with each attempt up to this maximum.
     Duration reclaimAfterMax = std::chrono::milliseconds(1500);
   };
 
-  /// None may be empty. Called from within the pool's functions. They may call
-  /// `start` and `stop`, but not what adds or drops workers.
+  /// All hooks must be set. They are called from within the pool's functions.
+  /// They may call `start` and `stop`, but nothing that adds or removes
+  /// workers.
   struct Hooks
   {
     WorkerOrders orders;
     std::function<void(const WorkerId&, const RunKey&, RunEnd)> runEnded;
     std::function<void(const WorkerId&, const RunKey&, OrderFailure)>
       startRejected;
-    /// See `WorkerLease`.
+    /// See `WorkerLease::Hooks::startUnresolved`.
     std::function<void(const WorkerId&, const RunKey&, TimePoint until)>
       startUnresolved;
-    /// See `WorkerLease`.
+    /// See `WorkerLease::Hooks::mayResend`.
     std::function<bool(const RunKey&)> mayResend;
     std::function<void(const WorkerId&, const RunKey&, int percent)> runActive;
     std::function<void(const WorkerId&, const RunKey&, RunEnd)> strayEnded;
-    /// A worker was taken from a shard that this daemon holds.
+    /// Another daemon has claimed a worker of a shard held here.
     std::function<void(const ShardId&)> fenced;
-    /// A token that is higher than any known one. Told how often in a row a
-    /// worker has refused ours; then it is higher by a margin, as somebody has
-    /// one that isn't known here.
+    /// Returns a fencing token higher than any known one. `refusals` is how
+    /// often in a row a worker has refused this daemon's tokens. If there were
+    /// any, the token is higher by a margin, as another daemon has one that
+    /// isn't known here.
     std::function<FencingToken(unsigned refusals)> higherToken;
-    /// See `WorkerLease`.
+    /// See `WorkerLease::Hooks::wantedUntil`.
     std::function<std::optional<TimePoint>(const RunKey&)> wantedUntil;
   };
 
   WorkerPool(Settings settings, Hooks hooks);
 
-  /// Takes the platform's list; workers that have come to a held shard are
-  /// claimed, those that are gone are dropped once they run nothing. The
-  /// workers may be divided into other shards then: held shards that are no
-  /// longer among `shards` have to be released.
+  /// Sets the platform's list of workers. Workers added to a held shard are
+  /// claimed; workers that are no longer listed are removed once they have no
+  /// runs. The list may change the division into shards: held shards that are
+  /// no longer in `shards` must then be released.
   void setList(const WorkerList& list, TimePoint now);
   std::set<ShardId> shards() const { return m_map.shards(); }
-  /// See `ShardMap`.
+  /// Sets the maximum number of workers per shard in each zone.
   void setBounds(const std::map<ZoneName, std::size_t>& bounds)
   {
     m_map.setBounds(bounds);
   }
-  /// See `ShardMap`.
+  /// See `ShardMap::adopt`.
   bool adoptDivision(const ShardId& shard) { return m_map.adopt(shard); }
   ShardId presentShard(const ShardId& shard) const
   {
     return m_map.present(shard);
   }
 
-  /// The availability zones on whose workers nothing may be started.
+  /// Sets the availability zones on whose workers nothing may be started.
   void setEvacuated(std::set<ZoneName> zones)
   {
     m_evacuated = std::move(zones);
@@ -111,27 +114,27 @@
   }
 
   void takeShard(const ShardId& shard, FencingToken token, TimePoint now);
-  /// Of a held shard: the workers on which something may run, which are those
-  /// of its leases, listed or not. Of another shard: its listed workers.
+  /// Returns the digest of a shard's workers. In a held shard these are all
+  /// workers with a lease, listed or not, as runs may be in progress on them;
+  /// in another shard they are the listed workers.
   ShardDigest digest(const ShardId& shard) const;
-  /// The listed workers of a shard, held here or not.
+  /// Returns the listed workers of a shard, whether or not it is held here.
   std::vector<WorkerRecord> workersOf(const ShardId& shard) const;
-  /// Forgets the shard's workers; what runs there goes on under the next
-  /// holder.
+  /// Removes the shard and its workers. Their runs go on under the next holder.
   void releaseShard(const ShardId& shard);
   bool holds(const ShardId& shard) const { return m_shards.count(shard) > 0; }
-  /// Whether everything that may run on the workers of a held shard is known:
-  /// all have answered what they were asked `since` then or later, and they are
-  /// the same that the last holder had.
+  /// Whether all runs that may be in progress on the workers of a held shard
+  /// are known: all workers have answered a request for a report made at
+  /// `since` or later, and they are the workers that the previous holder had.
   bool isFullyClaimed(const ShardId& shard,
                       ShardDigest lastHoldersWorkers,
                       TimePoint since) const;
-  /// Whether everything that may run on this worker is known: it has answered
-  /// what it was asked `since` then or later.
+  /// Whether all runs that may be in progress on this worker are known: it has
+  /// answered a request for a report made at `since` or later.
   bool isClaimed(const WorkerId& worker, TimePoint since) const;
 
-  /// The worker that a task should go to, or nothing if none has room. The
-  /// fullest that still fits is taken, so that large tasks find room.
+  /// Returns the worker for a task, or nothing if none has room. Prefers the
+  /// fullest worker that has room, which keeps room for large tasks.
   std::optional<WorkerId> choose(const JobRequest& request,
                                  const WorkerLimits& limits,
                                  TimePoint now) const;
@@ -139,8 +142,8 @@
   /// room.
   bool isInUse(const WorkerId& worker, const JobRequest& request) const;
 
-  /// Whether a worker of any size could ever run such a task, going by the
-  /// whole list less the evacuated zones.
+  /// Whether any listed worker outside the evacuated zones is large enough for
+  /// such a task.
   bool canEverRun(const JobRequest& request) const;
 
   void start(const WorkerId& worker,
@@ -148,45 +151,48 @@
              const Resources& resources,
              const std::string& spec,
              TimePoint now);
-  /// Starts nothing beside this run until it is over.
+  /// Starts nothing else on the worker until this run is over.
   void reserve(const WorkerId& worker, const RunKey& key);
-  /// Whether the worker has started again or another one is at its address, so
-  /// that what ran there was lost with it. One that is silent may be cut off.
+  /// Whether the worker has restarted, or another worker has its address, so
+  /// that its runs were lost. A silent worker may only be unreachable.
   bool isLifeOver(const WorkerId& worker) const;
   void stop(const WorkerId& worker, const RunKey& key, TimePoint now);
-  /// Asks a held worker at once what runs there.
+  /// Requests a report from a held worker at once.
   void refresh(const WorkerId& worker, TimePoint now);
   /// Requests a report from each worker that has room for such a task but needs
-  /// a recent report before the task can safely start there. False if there is
-  /// none.
+  /// a recent report before the task can safely start there. Returns false if
+  /// there is none.
   bool refreshForStart(const JobRequest& request,
                        const WorkerLimits& limits,
                        TimePoint now);
-  /// See `WorkerLease`.
+  /// See `WorkerLease::unansweredUntil`.
   std::optional<TimePoint> unansweredUntil(const WorkerId& worker,
                                            const RunKey& key) const;
-  /// Starts on the workers of a held shard that may still be carried out.
+  /// Returns the starts on workers of a held shard that may still be carried
+  /// out.
   std::vector<std::pair<WorkerId, UnansweredStart>> unansweredStarts(
     const ShardId& shard) const;
-  /// Takes a run that nobody has asked for into the book of its worker. Only
-  /// what the worker has told when it was asked `since` then or later counts:
-  /// before that, other holders may have ended the run and begun another.
+  /// Adopts an orphaned run of the task: its worker's lease counts it as a run
+  /// of this daemon from then on. Only a report requested at `since` or later
+  /// counts, because before that time other holders may have ended the run and
+  /// begun another.
   std::optional<std::pair<WorkerId, RunKey>> adopt(const std::string& task,
                                                    const Resources& resources,
                                                    TimePoint since);
-  /// Renews the lease of a worker whose last stray run was adopted.
+  /// Renews the lease of a worker whose last orphaned run was adopted. Orphaned
+  /// runs hold renewals up.
   void renewAdopted(const WorkerId& worker, TimePoint now);
-  /// Whether a task of this name runs, or may run, on a held worker.
+  /// Whether a run of the task is, or may be, in progress on a held worker.
   bool isRunning(const std::string& task) const
   {
     return workerOf(task).has_value();
   }
-  /// The held worker on which a task of this name runs, or may run; an empty
-  /// id if there are several.
+  /// Returns the held worker on which a run of the task is, or may be, in
+  /// progress, or an empty id if there are several.
   std::optional<WorkerId> workerOf(const std::string& task) const;
 
-  /// Whether the worker is held for this shard; also true of an empty id, which
-  /// may be any.
+  /// Whether the worker is held for this shard. Also true for an empty id,
+  /// which may stand for any worker.
   bool isOfShard(const WorkerId& worker, const ShardId& shard) const;
 
   void holdAnswered(const WorkerId& worker,
@@ -206,13 +212,13 @@
   void workerStalled(const WorkerId& worker, TimePoint now);
   void tick(TimePoint now);
 
-  /// Tasks of this size that could be started now.
+  /// Returns how many tasks of this size could be started now.
   unsigned freePlaces(const ShardId& shard,
                       std::int64_t cpuMillis,
                       TimePoint now) const;
-  /// All that the usable workers of a shard have, used or free.
+  /// Returns the capacity of the usable workers of a shard, in use or free.
   std::int64_t totalCpuMillis(const ShardId& shard, TimePoint now) const;
-  /// The largest free room on any one worker.
+  /// Returns the largest free capacity on any one worker.
   std::int64_t largestFreeCpuMillis() const;
 
   struct WorkerView
@@ -233,12 +239,12 @@
     std::unique_ptr<WorkerLease> lease;
     WorkerHealth health;
     bool isListed = true;
-    /// A task beside which nothing is started while it runs here.
+    /// Name of the task beside which nothing is started while it runs here.
     std::string reservedFor;
-    /// When a tick first saw that another daemon had taken it.
+    /// When a tick first found that another daemon has claimed the worker.
     std::optional<TimePoint> fencedAt;
     Duration reclaimWait = Duration::zero();
-    /// Since it was last held.
+    /// Number of refused claims since the worker was last held.
     unsigned refusals = 0;
 
     explicit Entry(const WorkerHealth::Settings& settings)
@@ -248,7 +254,7 @@
   };
   using Entries = std::map<WorkerId, Entry>;
 
-  /// Null if the worker isn't one of a held shard, or no longer.
+  /// Returns null if the worker isn't in a held shard, or no longer.
   Entry* find(const WorkerId& worker);
   void addWorker(const WorkerRecord& record, TimePoint now);
   WorkerLease::Hooks leaseHooks(const WorkerId& id);
@@ -256,14 +262,15 @@
   void dropUnlisted();
   void noteCapacities();
   void reclaim(TimePoint now);
-  /// Whether a task of this size can be started there now.
+  /// Whether a task of this size can be started on the worker now.
   bool canStart(const Entry& entry, const Resources& resources) const;
-  /// Whether the worker, in its present life, can run such a task and has free
-  /// room for it.
+  /// Whether the worker, in its present incarnation, can run such a task and
+  /// has room for it.
   bool isEligible(const Entry& entry,
                   const JobRequest& request,
                   TimePoint now) const;
-  /// Whether the limits leave the worker, whatever it would report.
+  /// Whether the worker satisfies the constraints that no new report would
+  /// change.
   static bool isAllowed(const WorkerId& id,
                         const Entry& entry,
                         const WorkerLimits& limits);
@@ -281,8 +288,8 @@
   ShardMap m_map;
   std::map<ShardId, FencingToken> m_shards;
   std::set<ZoneName> m_evacuated;
-  /// The most that each listed worker has said to have: one that is smaller for
-  /// a while may grow again.
+  /// The largest capacity that each listed worker has reported. A worker whose
+  /// capacity is reduced for a while may grow again.
   std::map<WorkerId, Resources> m_fullCapacity;
   Entries m_entries;
 };
