--- a/src/libjobs/admission.cpp
+++ b/src/libjobs/admission.cpp
@@ -11,7 +11,7 @@
 /// Smallest share of the capacity that a job is assumed to get, however much is
 /// served before it: later jobs are themselves refused when they arrive too
 /// fast.
-constexpr double leastShare = 0.1;
+constexpr double minCapacityShare = 0.1;
 /// Shortest delay after which a refused caller is told to retry.
 constexpr Duration minRetryAfter = std::chrono::milliseconds(200);
 
@@ -22,8 +22,8 @@
 {
   if (backlog.capacity <= 0)
     return Duration::zero();
-  const double left = std::max(backlog.capacity - backlog.takenByNewcomers,
-                               backlog.capacity * leastShare);
+  const double left = std::max(backlog.capacity - backlog.takenByLaterJobs,
+                               backlog.capacity * minCapacityShare);
   return Duration(std::int64_t(backlog.workBefore / left));
 }
 
@@ -33,8 +33,8 @@
   if (!request.canEverRun)
     return false;
   if (request.isSuggested)
-    return request.freePlaces > 0;
-  if (request.freePlaces >= request.tasks || request.mayGoElsewhere)
+    return request.freeSlots > 0;
+  if (request.freeSlots >= request.tasks || request.mayGoElsewhere)
     return true;
   const Duration end = request.age + request.expectedWait + request.runTime;
   return end <= scaled(request.objective, refusalFactor);
--- a/src/libjobs/admission.h
+++ b/src/libjobs/admission.h
@@ -14,7 +14,7 @@
   double capacity = 0;
   /// Part of the capacity that later jobs which are served first take while the
   /// job waits.
-  double takenByNewcomers = 0;
+  double takenByLaterJobs = 0;
 };
 
 /// Returns how long a job waits for its slots.
@@ -26,7 +26,7 @@
 {
   unsigned tasks = 0;
   /// Number of tasks of its size that could be started now.
-  unsigned freePlaces = 0;
+  unsigned freeSlots = 0;
   /// Whether any worker could ever run it.
   bool canEverRun = true;
   /// Whether the submitter was referred to this holder because it has room.
--- a/src/libjobs/job.cpp
+++ b/src/libjobs/job.cpp
@@ -85,7 +85,7 @@
       end.crashes[task.index] = task.crashes;
     if (task.state == TaskState::Done)
       end.done.push_back(task.index);
-    end.nextRun = std::max(end.nextRun, task.nextRun + staleRunStep);
+    end.nextRun = std::max(end.nextRun, task.nextRun + runNumberGap);
   }
   return end;
 }
--- a/src/libjobs/job.h
+++ b/src/libjobs/job.h
@@ -52,7 +52,7 @@
   bool mayReuseRun = false;
   /// When the run was started or, if a lost daemon had started it, adopted.
   TimePoint startedAt{};
-  bool wasFound = false;
+  bool wasAdopted = false;
   /// Progress that the worker last reported, and when it last rose.
   int percent = 0;
   TimePoint progressAt{};
@@ -61,7 +61,7 @@
   /// known.
   WorkerId lastWorker;
   /// Workers on which the task failed, was rejected or made no progress.
-  std::set<WorkerId> avoided;
+  std::set<WorkerId> avoidedWorkers;
 };
 
 /// A job, or a part of one, at the daemon that holds the workers for it.
@@ -95,19 +95,19 @@
   /// When a daemon that had the job before was lost, if one was.
   TimePoint lostAt{};
   /// When the job is abandoned. Set while its submitter can't be reached.
-  std::optional<TimePoint> dropAt;
+  std::optional<TimePoint> abandonAt;
   /// When the submitter was last lost.
   TimePoint submitterLostAt{};
 
   /// Set while the next task waits for a report of a worker that has room.
-  bool isReportDue = false;
+  bool awaitsReport = false;
 
   bool isOver() const { return done + returned == tasks.size(); }
 };
 
 /// Added to a task's run number when another daemon may have started the task
 /// under higher numbers. It is more than that daemon can have used.
-constexpr std::uint64_t staleRunStep = 8;
+constexpr std::uint64_t runNumberGap = 8;
 
 /// How long a run may go on after its submitter was last known to be alive. A
 /// caller whose connection breaks submits again 1,300 ms later; the difference
--- a/src/libjobs/leaselog.cpp
+++ b/src/libjobs/leaselog.cpp
@@ -5,7 +5,7 @@
 namespace cowslippin {
 
 void
-logStrayFound(const WorkerId& worker, const RunKey& key)
+logOrphanFound(const WorkerId& worker, const RunKey& key)
 {
   logDecision(
     LogLevel::Info,
@@ -14,7 +14,7 @@
 }
 
 void
-logStrayEnded(const WorkerId& worker, const RunKey& key, RunEnd end)
+logOrphanEnded(const WorkerId& worker, const RunKey& key, RunEnd end)
 {
   logDecision(LogLevel::Info,
               "found-run-ended",
@@ -34,7 +34,7 @@
 }
 
 void
-logNote(const WorkerId& worker, const StrayStopped& note)
+logLeaseEvent(const WorkerId& worker, const StrayStopped& note)
 {
   logDecision(LogLevel::Info,
               "found-run-stopped",
@@ -45,7 +45,7 @@
 }
 
 void
-logNote(const WorkerId& worker, const StopFailed& note)
+logLeaseEvent(const WorkerId& worker, const StopFailed& note)
 {
   const bool isUnanswered = note.failure == OrderFailure::Unanswered ||
                             note.failure == OrderFailure::NotSent;
@@ -61,7 +61,7 @@
 }
 
 void
-logNote(const WorkerId& worker, const UnwantedRenewal& note)
+logLeaseEvent(const WorkerId& worker, const UnwantedRenewal& note)
 {
   logDecision(LogLevel::Warning,
               "lease-renewed-over",
@@ -73,7 +73,7 @@
 }
 
 void
-logNote(const WorkerId& worker, const LeaseLapsed& note)
+logLeaseEvent(const WorkerId& worker, const LeaseLapsed& note)
 {
   IdList tasks;
   for (const RunKey& key : note.runs)
--- a/src/libjobs/leaselog.h
+++ b/src/libjobs/leaselog.h
@@ -9,18 +9,18 @@
 /// Log events of a worker's lease. A task's name begins with its job's id.
 
 void
-logStrayFound(const WorkerId& worker, const RunKey& key);
+logOrphanFound(const WorkerId& worker, const RunKey& key);
 void
-logStrayEnded(const WorkerId& worker, const RunKey& key, RunEnd end);
+logOrphanEnded(const WorkerId& worker, const RunKey& key, RunEnd end);
 void
 logStartUnresolved(const WorkerId& worker, const RunKey& key);
 void
-logNote(const WorkerId& worker, const StrayStopped& note);
+logLeaseEvent(const WorkerId& worker, const StrayStopped& note);
 void
-logNote(const WorkerId& worker, const StopFailed& note);
+logLeaseEvent(const WorkerId& worker, const StopFailed& note);
 void
-logNote(const WorkerId& worker, const UnwantedRenewal& note);
+logLeaseEvent(const WorkerId& worker, const UnwantedRenewal& note);
 void
-logNote(const WorkerId& worker, const LeaseLapsed& note);
+logLeaseEvent(const WorkerId& worker, const LeaseLapsed& note);
 
 } // namespace cowslippin
--- a/src/libjobs/carriedworkers.cpp
+++ b/src/libjobs/machinelimits.cpp
@@ -1,4 +1,4 @@
-#include "carriedworkers.h"
+#include "machinelimits.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,10 +19,10 @@
 
 /// Returns how often `need` fits into the share of `limit` that is for workers.
 double
-fitting(double limit, double need)
+workersWithin(double limit, double need)
 {
   return limit > 0 ? limit * shareForWorkers / need
-                   : double(mostWorkersPerShard);
+                   : double(maxWorkersPerShard);
 }
 
 } // namespace
@@ -31,13 +31,13 @@
 carriedWorkers(const MachineLimits& limits)
 {
   const double byProcessor =
-    fitting(limits.cores, tasksPerSecond * processorSecondsPerTask);
+    workersWithin(limits.cores, tasksPerSecond * processorSecondsPerTask);
   const double byLink =
-    fitting(limits.megabitsPerSecond * 1e6,
-            tasksPerSecond * kilobytesPerTask * bitsPerKilobyte);
-  const double carried =
-    std::clamp(std::min(byProcessor, byLink), 1.0, double(mostWorkersPerShard));
-  return static_cast<std::size_t>(std::lround(carried));
+    workersWithin(limits.megabitsPerSecond * 1e6,
+                  tasksPerSecond * kilobytesPerTask * bitsPerKilobyte);
+  const double workers =
+    std::clamp(std::min(byProcessor, byLink), 1.0, double(maxWorkersPerShard));
+  return static_cast<std::size_t>(std::lround(workers));
 }
 
 } // namespace cowslippin
--- a/src/libjobs/carriedworkers.h
+++ b/src/libjobs/machinelimits.h
@@ -25,10 +25,10 @@
 
 /// Maximum number of workers per shard, so that the loss of one holder affects
 /// few of a zone's jobs.
-constexpr std::size_t mostWorkersPerShard = 40;
+constexpr std::size_t maxWorkersPerShard = 40;
 
 /// Returns how many workers a daemon on such a machine can hold, at least 1 and
-/// at most `mostWorkersPerShard`.
+/// at most `maxWorkersPerShard`.
 ///
 /// This prevents shards whose orders fill the link or the processor of their
 /// holder. Orders and answers would queue up, be taken for lost and be sent
--- a/src/libjobs/peerplaces.cpp
+++ b/src/libjobs/peerplaces.cpp
@@ -5,50 +5,49 @@
 namespace {
 
 /// Number of slots of a shard that are left to its holder for jobs of its own.
-constexpr unsigned holdersReserve = 1;
+constexpr unsigned holderReservedSlots = 1;
 
 } // namespace
 
 void
-PeerPlaces::set(const VmId& holder, const ShardId& shard, unsigned places)
+PeerSlots::set(const VmId& holder, const ShardId& shard, unsigned slots)
 {
-  m_places[shard] = { holder, places };
+  m_places[shard] = { holder, slots };
 }
 
 void
-PeerPlaces::forget(const VmId& holder)
+PeerSlots::forget(const VmId& holder)
 {
-  forgetIf([&](const ShardId&, const Places& places) {
-    return places.holder == holder;
-  });
+  forgetIf(
+    [&](const ShardId&, const Slots& slots) { return slots.holder == holder; });
 }
 
 void
-PeerPlaces::forget(const ZoneName& zone)
+PeerSlots::forget(const ZoneName& zone)
 {
   forgetIf(
-    [&](const ShardId& shard, const Places&) { return shard.zone() == zone; });
+    [&](const ShardId& shard, const Slots&) { return shard.zone() == zone; });
 }
 
-std::optional<PeerPlaces::Offer>
-PeerPlaces::best() const
+std::optional<PeerSlots::Offer>
+PeerSlots::best() const
 {
   std::optional<Offer> best;
-  unsigned most = holdersReserve;
-  for (const auto& [shard, places] : m_places) {
-    if (places.count > most) {
-      most = places.count;
-      best = Offer{ places.holder, shard, places.count };
+  unsigned most = holderReservedSlots;
+  for (const auto& [shard, slots] : m_places) {
+    if (slots.count > most) {
+      most = slots.count;
+      best = Offer{ slots.holder, shard, slots.count };
     }
   }
   return best;
 }
 
 bool
-PeerPlaces::take(const ShardId& shard)
+PeerSlots::take(const ShardId& shard)
 {
   const auto found = m_places.find(shard);
-  if (found == m_places.end() || found->second.count <= holdersReserve)
+  if (found == m_places.end() || found->second.count <= holderReservedSlots)
     return false;
   --found->second.count;
   return true;
--- a/src/libjobs/peerplaces.h
+++ b/src/libjobs/peerplaces.h
@@ -10,7 +10,7 @@
 
 /// Free slots on the shards of other holders: what the holders last advertised,
 /// less what has been sent there since.
-class PeerPlaces
+class PeerSlots
 {
 public:
   /// A shard that has slots to offer.
@@ -18,10 +18,10 @@
   {
     VmId holder;
     ShardId shard;
-    unsigned places = 0;
+    unsigned slots = 0;
   };
 
-  void set(const VmId& holder, const ShardId& shard, unsigned places);
+  void set(const VmId& holder, const ShardId& shard, unsigned slots);
   void forget(const VmId& holder);
   void forget(const ZoneName& zone);
 
@@ -33,7 +33,7 @@
   bool take(const ShardId& shard);
 
 private:
-  struct Places
+  struct Slots
   {
     VmId holder;
     unsigned count = 0;
@@ -42,15 +42,15 @@
   template<class Predicate>
   void forgetIf(Predicate mustForget)
   {
-    for (auto place = m_places.begin(); place != m_places.end();) {
-      if (mustForget(place->first, place->second))
-        place = m_places.erase(place);
+    for (auto entry = m_places.begin(); entry != m_places.end();) {
+      if (mustForget(entry->first, entry->second))
+        entry = m_places.erase(entry);
       else
-        ++place;
+        ++entry;
     }
   }
 
-  std::map<ShardId, Places> m_places;
+  std::map<ShardId, Slots> m_places;
 };
 
 } // namespace cowslippin
--- a/src/libjobs/restartcause.h
+++ b/src/libjobs/restartcause.h
@@ -23,13 +23,13 @@
   HandedOver,
   /// After the loss of a daemon: the worker that had the last run reported that
   /// it has none.
-  WorkerTold,
+  WorkerReported,
   /// After the loss of a daemon: all workers of its shard reported that they
   /// have no run of the task.
-  ShardClaimed,
+  ShardReported,
   /// After the loss of a daemon: nothing was reported, but its runs are over by
   /// now.
-  TimePassed,
+  QuarantineExpired,
 };
 
 constexpr const char*
@@ -52,11 +52,11 @@
       return "stale-run";
     case RestartCause::HandedOver:
       return "handed-over";
-    case RestartCause::WorkerTold:
+    case RestartCause::WorkerReported:
       return "worker-told";
-    case RestartCause::ShardClaimed:
+    case RestartCause::ShardReported:
       return "shard-claimed";
-    case RestartCause::TimePassed:
+    case RestartCause::QuarantineExpired:
       return "time-passed";
   }
   return "other";
--- a/src/libjobs/scheduler.cpp
+++ b/src/libjobs/scheduler.cpp
@@ -57,7 +57,7 @@
                            int percent) { runActive(worker, key, percent); };
   hooks.strayEnded = [this](const WorkerId&, const RunKey& key, RunEnd end) {
     if (end == RunEnd::Done)
-      m_strayDone[key.task()] = m_now;
+      m_finishedOrphans[key.task()] = m_now;
   };
   return hooks;
 }
@@ -67,7 +67,7 @@
 {
   m_now = now;
   if (attach(request)) {
-    pump(now);
+    dispatch(now);
     return;
   }
   const JobKey key = request.key;
@@ -97,13 +97,13 @@
              waitingWork(job),
              now);
   logJob("job-accepted", job, nullptr, m_now);
-  findRuns(job, now);
+  adoptOrQuarantineRuns(job, now);
   if (job.isOver()) {
     finish(job, completedEnd(job));
     return;
   }
   m_queue.add(job);
-  pump(now);
+  dispatch(now);
 }
 
 /// Returns until when the lease of a run may be renewed, or nothing if it may
@@ -114,7 +114,7 @@
 Scheduler::wantedUntil(const RunKey& key) const
 {
   const auto found = m_runs.find(key);
-  if (found == m_runs.end() || found->second.job->dropAt)
+  if (found == m_runs.end() || found->second.job->abandonAt)
     return std::nullopt;
   const Job& job = *found->second.job;
   const VmId& submitter = job.request.key.submitter();
@@ -123,7 +123,7 @@
 }
 
 Duration
-Scheduler::sinceContact(const Job& job, TimePoint now) const
+Scheduler::contactAge(const Job& job, TimePoint now) const
 {
   return now - m_hooks.lastContact(job.request.key.submitter());
 }
@@ -133,8 +133,8 @@
 bool
 Scheduler::mayStart(const Job& job, TimePoint now) const
 {
-  return !job.dropAt &&
-         sinceContact(job, now) <= m_settings.startContactLimit &&
+  return !job.abandonAt &&
+         contactAge(job, now) <= m_settings.startContactLimit &&
          now <= job.exclusiveUntil - exclusiveStartMargin;
 }
 
@@ -144,9 +144,9 @@
 bool
 Scheduler::hasLostContact(const Job& job, TimePoint now) const
 {
-  const Duration since = std::min(sinceContact(job, now), now - job.receivedAt);
-  return !job.dropAt && job.request.key.submitter() != m_self &&
-         since > m_settings.contactLimit;
+  const Duration since = std::min(contactAge(job, now), now - job.receivedAt);
+  return !job.abandonAt && job.request.key.submitter() != m_self &&
+         since > m_settings.maxContactAge;
 }
 
 /// Adopts an orphaned run of the task on a held worker. Returns false if there
@@ -163,31 +163,31 @@
   task.run = run->second.run();
   task.nextRun = std::max(task.nextRun, task.run + 1);
   task.startedAt = now;
-  task.wasFound = true;
+  task.wasAdopted = true;
   task.progressAt = now;
   m_runs[run->second] = { &job, position };
-  m_pool.renewAdopted(run->first, now);
+  m_pool.renewAfterAdoption(run->first, now);
   return true;
 }
 
 /// Adopts the runs of a job that a lost daemon left on workers now held here,
 /// and quarantines the tasks for which none is found.
 void
-Scheduler::findRuns(Job& job, TimePoint now)
+Scheduler::adoptOrQuarantineRuns(Job& job, TimePoint now)
 {
   if (!job.request.mayHaveRun)
     return;
   for (std::size_t i = 0; i < job.tasks.size(); ++i) {
     JobTask& task = job.tasks[i];
     const std::string name = job.request.taskName(task.index);
-    if (m_strayDone.erase(name) > 0) {
+    if (m_finishedOrphans.erase(name) > 0) {
       logFoundDone(job, task, now);
-      leavePending(job, task, TaskState::Done);
+      dequeueTask(job, task, TaskState::Done);
       ++job.done;
       continue;
     }
     if (adoptRun(job, i, now)) {
-      leavePending(job, task, TaskState::Running);
+      dequeueTask(job, task, TaskState::Running);
       logRunAdopted(job, task, now);
     } else {
       quarantine(job, task, now);
@@ -204,16 +204,16 @@
   if (!quarantine)
     return;
   if (quarantine->underWay) {
-    const auto& places = *quarantine->underWay;
-    const auto place =
-      std::find_if(places.begin(), places.end(), [&](const TaskPlace& known) {
+    const auto& locations = *quarantine->underWay;
+    const auto location = std::find_if(
+      locations.begin(), locations.end(), [&](const TaskPlace& known) {
         return known.task == task.index;
       });
-    if (place == places.end())
+    if (location == locations.end())
       return;
-    task.lastWorker = place->worker;
+    task.lastWorker = location->worker;
   }
-  leavePending(job, task, TaskState::Quarantined);
+  dequeueTask(job, task, TaskState::Quarantined);
   task.quarantinedUntil = now + quarantine->remaining;
   logQuarantined(job, task, now);
   // A report from before the loss doesn't count. The next regular report would
@@ -231,11 +231,11 @@
     return true;
   AdmissionRequest request;
   request.tasks = static_cast<unsigned>(job.tasks.size());
-  request.freePlaces = m_pool.freePlaces(
+  request.freeSlots = m_pool.freeSlots(
     job.request.shard, job.request.needs.resources.cpuMillis(), now);
   request.canEverRun = m_pool.canEverRun(job.request);
   request.isSuggested = !job.request.mayBeReturned;
-  request.mayGoElsewhere = offerFor(job).has_value();
+  request.mayGoElsewhere = peerOfferFor(job).has_value();
   request.expectedWait = expectedWait(job, now);
   request.runTime = job.expected;
   request.age = now - job.arrivedAt;
@@ -258,7 +258,7 @@
     return;
   logJobCancelled(*found->second, m_now);
   drop(*found->second);
-  pump(now);
+  dispatch(now);
 }
 
 void
@@ -269,7 +269,7 @@
   if (found == m_jobs.end())
     return;
   found->second->exclusiveUntil = TimePoint::max();
-  pump(now);
+  dispatch(now);
 }
 
 void
@@ -278,11 +278,11 @@
   m_now = now;
   forgetPeer(vm);
   for (auto& [key, job] : m_jobs) {
-    if (key.submitter() != vm || job->dropAt)
+    if (key.submitter() != vm || job->abandonAt)
       continue;
     job->submitterLostAt = now;
-    job->dropAt = now + (wasSilent ? m_settings.silentDetachedLimit
-                                   : m_settings.detachedLimit);
+    job->abandonAt = now + (wasSilent ? m_settings.silentSubmitterGrace
+                                      : m_settings.lostSubmitterGrace);
   }
 }
 
@@ -290,7 +290,7 @@
 Scheduler::contactRenewed(TimePoint now)
 {
   m_now = now;
-  pump(now);
+  dispatch(now);
 }
 
 void
@@ -298,7 +298,7 @@
 {
   m_now = now;
   m_pool.setList(list, now);
-  pump(now);
+  dispatch(now);
 }
 
 void
@@ -307,8 +307,8 @@
   m_now = now;
   m_pool.setEvacuated(zones);
   for (const ZoneName& zone : zones)
-    m_peerPlaces.forget(zone);
-  pump(now);
+    m_peerSlots.forget(zone);
+  dispatch(now);
 }
 
 void
@@ -330,7 +330,7 @@
     if (job->request.shard == shard)
       ends.emplace_back(job.get(), movedEnd(*job, workerOf));
     else
-      leaveRunsBehind(*job, shard);
+      quarantineRunsOn(*job, shard);
   }
   for (const auto& [worker, start] : m_pool.unansweredStarts(shard))
     tellUnresolved({ start.key, worker, start.until });
@@ -351,23 +351,23 @@
 /// those runs. Until they are certain to be over, their tasks don't start
 /// again.
 void
-Scheduler::leaveRunsBehind(Job& job, const ShardId& shard)
+Scheduler::quarantineRunsOn(Job& job, const ShardId& shard)
 {
   for (JobTask& task : job.tasks) {
     const RunKey run(job.request.taskName(task.index), task.run);
     const auto worker = m_pool.workerOf(run.task());
     const bool mayRun =
       task.state == TaskState::Running || task.state == TaskState::Pending;
-    if (!mayRun || !worker || !m_pool.isOfShard(*worker, shard))
+    if (!mayRun || !worker || !m_pool.belongsToShard(*worker, shard))
       continue;
     m_runs.erase(run);
-    task.nextRun += staleRunStep;
+    task.nextRun += runNumberGap;
     task.lastWorker = *worker;
     task.quarantinedUntil = m_now + lostRunLimit;
     job.lostAt = m_now;
     logQuarantined(job, task, m_now);
     if (task.state == TaskState::Pending)
-      leavePending(job, task, TaskState::Quarantined);
+      dequeueTask(job, task, TaskState::Quarantined);
     else
       task.state = TaskState::Quarantined;
   }
@@ -387,9 +387,9 @@
   node.key() = request.key;
   Job& job = *node.mapped();
   job.request.key = request.key;
-  if (job.dropAt)
+  if (job.abandonAt)
     logJobReattached(job, m_now);
-  job.dropAt.reset();
+  job.abandonAt.reset();
   job.receivedAt = m_now;
   job.exclusiveUntil =
     request.exclusiveFor == Duration::max()
@@ -401,7 +401,7 @@
     if (task.state != TaskState::Returned || wanted.count(task.index) == 0)
       continue;
     --job.returned;
-    setPending(job, task);
+    enqueueTask(job, task);
   }
   return true;
 }
@@ -414,7 +414,7 @@
 {
   m_now = now;
   m_pool.holdAnswered(worker, sent, answer, now);
-  pump(now);
+  dispatch(now);
 }
 
 void
@@ -426,9 +426,9 @@
   m_now = now;
   m_pool.startAnswered(worker, key, answer, now);
   if (answer == OrderFailure::Unanswered)
-    noteCopies(worker, key);
+    recordUnansweredStart(worker, key);
   if (answer)
-    pump(now);
+    dispatch(now);
 }
 
 void
@@ -460,7 +460,7 @@
 {
   m_now = now;
   m_isSuspended = false;
-  pump(now);
+  dispatch(now);
 }
 
 void
@@ -470,23 +470,24 @@
   m_unresolved.expire(now);
   m_pool.tick(now);
   tickJobs(now);
-  for (auto done = m_strayDone.begin(); done != m_strayDone.end();) {
-    if (now - done->second > m_settings.strayEndsKept)
-      done = m_strayDone.erase(done);
+  for (auto done = m_finishedOrphans.begin();
+       done != m_finishedOrphans.end();) {
+    if (now - done->second > m_settings.orphanEndRetention)
+      done = m_finishedOrphans.erase(done);
     else
       ++done;
   }
-  pump(now);
+  dispatch(now);
 }
 
 unsigned
 Scheduler::sparePlaces(const ShardId& shard, TimePoint now) const
 {
-  const auto usual = static_cast<std::int64_t>(m_usualCpuMillis);
-  const unsigned places =
-    m_pool.freePlaces(shard, std::max<std::int64_t>(usual, 1000), now);
+  const auto usual = static_cast<std::int64_t>(m_meanCpuMillis);
+  const unsigned slots =
+    m_pool.freeSlots(shard, std::max<std::int64_t>(usual, 1000), now);
   const std::size_t waiting = m_queue.waitingTasks(shard);
-  return places > waiting ? places - static_cast<unsigned>(waiting) : 0;
+  return slots > waiting ? slots - static_cast<unsigned>(waiting) : 0;
 }
 
 Duration
@@ -497,7 +498,7 @@
   backlog.workBefore = m_queue.workBefore(shard, newcomer.latestStart);
   backlog.capacity =
     double(m_pool.totalCpuMillis(shard, now)) * m_settings.usableShare;
-  backlog.takenByNewcomers = m_load.before(shard, slackOf(newcomer), now);
+  backlog.takenByLaterJobs = m_load.before(shard, slackOf(newcomer), now);
   return cowslippin::expectedWait(backlog);
 }
 
@@ -522,7 +523,7 @@
 }
 
 void
-Scheduler::setPending(Job& job, JobTask& task)
+Scheduler::enqueueTask(Job& job, JobTask& task)
 {
   task.state = TaskState::Pending;
   ++job.pending;
@@ -530,7 +531,7 @@
 }
 
 void
-Scheduler::leavePending(Job& job, JobTask& task, TaskState state)
+Scheduler::dequeueTask(Job& job, JobTask& task, TaskState state)
 {
   task.state = state;
   --job.pending;
@@ -539,32 +540,32 @@
 }
 
 void
-Scheduler::pump(TimePoint now)
+Scheduler::dispatch(TimePoint now)
 {
-  if (m_isPumping || m_isSuspended)
+  if (m_isDispatching || m_isSuspended)
     return;
-  m_isPumping = true;
+  m_isDispatching = true;
   std::int64_t room = m_pool.largestFreeCpuMillis();
   for (Job* job : m_queue.jobs()) {
     if (isEvacuated(*job)) {
-      leaveEvacuated(*job);
+      returnEvacuatedTasks(*job);
       continue;
     }
     if (!mayStart(*job, now))
       continue;
-    job->isReportDue = false;
+    job->awaitsReport = false;
     if (job->request.needs.resources.cpuMillis() <= room) {
-      pumpJob(*job, now);
+      dispatchJob(*job, now);
       room = m_pool.largestFreeCpuMillis();
     }
-    if (job->pending > 0 && !job->isReportDue)
+    if (job->pending > 0 && !job->awaitsReport)
       returnTasks(*job);
   }
-  m_isPumping = false;
+  m_isDispatching = false;
 }
 
 void
-Scheduler::pumpJob(Job& job, TimePoint now)
+Scheduler::dispatchJob(Job& job, TimePoint now)
 {
   for (std::size_t i = 0; i < job.tasks.size(); ++i) {
     if (job.tasks[i].state != TaskState::Pending)
@@ -581,21 +582,22 @@
   const std::string name = job.request.taskName(task.index);
   // A run of the same task, left by another submitter, is still being stopped.
   if (m_pool.isRunning(name)) {
-    adoptPending(job, position, now);
+    adoptUnresolvedStart(job, position, now);
     return true;
   }
   const auto binding = m_unresolved.binding(name);
-  const WorkerLimits limits = limitsOf(job, task, binding);
-  const auto worker = m_pool.choose(job.request, limits, now);
+  const WorkerConstraints constraints = constraintsOf(job, task, binding);
+  const auto worker = m_pool.choose(job.request, constraints, now);
   if (!worker) {
-    job.isReportDue = m_pool.refreshForStart(job.request, limits, now);
+    job.awaitsReport =
+      m_pool.requestReportsForStart(job.request, constraints, now);
     return binding.has_value();
   }
   if (binding && !task.mayReuseRun)
     task.nextRun = std::max(task.nextRun, binding->nextRun);
   const RunKey key(name, task.mayReuseRun ? task.run : task.nextRun++);
   task.mayReuseRun = false;
-  leavePending(job, task, TaskState::Running);
+  dequeueTask(job, task, TaskState::Running);
   const WorkerId previous =
     task.worker.isEmpty() ? task.lastWorker : task.worker;
   task.worker = *worker;
@@ -604,71 +606,70 @@
   task.progressAt = now;
   task.percent = 0;
   task.isBeingStopped = false;
-  task.wasFound = false;
+  task.wasAdopted = false;
   job.hasStarted = true;
   m_runs[key] = { &job, position };
-  noteSize(job.request.needs.resources);
+  recordTaskSize(job.request.needs.resources);
   m_losses.taskStarted(job, task, previous, now);
   m_pool.start(
     *worker, key, job.request.needs.resources, job.request.spec, now);
-  if (limits.mustBeIdle)
+  if (constraints.mustBeIdle)
     m_pool.reserve(*worker, key);
   return true;
 }
 
-WorkerLimits
-Scheduler::limitsOf(
+WorkerConstraints
+Scheduler::constraintsOf(
   const Job& job,
   const JobTask& task,
   const std::optional<UnresolvedStarts::Binding>& binding) const
 {
-  WorkerLimits limits;
-  limits.avoided = task.avoided;
-  limits.perWorker = runsPerWorker(job);
-  limits.mustBeIdle = task.crashes >= m_settings.suspectCrashes;
-  limits.toldUntil = m_hooks.toldUntil(job.request.key.submitter());
-  limits.leasedUntil = job.exclusiveUntil;
+  WorkerConstraints constraints;
+  constraints.avoidedWorkers = task.avoidedWorkers;
+  constraints.perWorker = runsPerWorker(job);
+  constraints.mustBeIdle = task.crashes >= m_settings.isolateAfterCrashes;
+  constraints.toldUntil = m_hooks.toldUntil(job.request.key.submitter());
+  constraints.leasedUntil = job.exclusiveUntil;
   // An empty id matches no worker.
   if (binding)
-    limits.boundTo = binding->worker.value_or(WorkerId());
-  return limits;
+    constraints.requiredWorker = binding->worker.value_or(WorkerId());
+  return constraints;
 }
 
 /// Adopts the run of a pending task whose unresolved start was carried out.
 void
-Scheduler::adoptPending(Job& job, std::size_t position, TimePoint now)
+Scheduler::adoptUnresolvedStart(Job& job, std::size_t position, TimePoint now)
 {
   JobTask& task = job.tasks[position];
   const bool isUnresolved =
     m_unresolved.binding(job.request.taskName(task.index)).has_value();
   if (!isUnresolved || !adoptRun(job, position, now))
     return;
-  leavePending(job, task, TaskState::Running);
+  dequeueTask(job, task, TaskState::Running);
   logRunAdopted(job, task, now);
 }
 
 void
-Scheduler::noteSize(const Resources& resources)
+Scheduler::recordTaskSize(const Resources& resources)
 {
   const auto size = double(resources.cpuMillis());
-  m_usualCpuMillis =
-    m_usualCpuMillis == 0
-      ? size
-      : m_usualCpuMillis * (1 - sizeWeight) + size * sizeWeight;
+  m_meanCpuMillis = m_meanCpuMillis == 0
+                      ? size
+                      : m_meanCpuMillis * (1 - sizeWeight) + size * sizeWeight;
 }
 
 /// Returns the holder to which tasks of the job could go instead, if they may
 /// be returned and some holder has room.
-std::optional<PeerPlaces::Offer>
-Scheduler::offerFor(const Job& job) const
+std::optional<PeerSlots::Offer>
+Scheduler::peerOfferFor(const Job& job) const
 {
-  return job.request.mayBeReturned ? m_peerPlaces.best() : std::nullopt;
+  return job.request.mayBeReturned ? m_peerSlots.best() : std::nullopt;
 }
 
 /// Whether the task is pending and no run of it, whoever submitted it, is on a
 /// held worker or may still begin.
 bool
-Scheduler::isFree(const Job& job, const JobTask& task) const
+Scheduler::isReturnable(const Job& job, const JobTask& task) const
 {
   const std::string name = job.request.taskName(task.index);
   return task.state == TaskState::Pending && !m_pool.isRunning(name) &&
@@ -678,14 +679,14 @@
 void
 Scheduler::returnTasks(Job& job)
 {
-  const auto offer = offerFor(job);
+  const auto offer = peerOfferFor(job);
   if (!offer)
     return;
   TasksReturned returned;
   returned.holder = offer->holder;
   returned.shard = offer->shard;
   for (const JobTask& task : job.tasks) {
-    if (isFree(job, task) && m_peerPlaces.take(offer->shard))
+    if (isReturnable(job, task) && m_peerSlots.take(offer->shard))
       returned.tasks.push_back(task.index);
   }
   returnTasks(job, returned);
@@ -694,7 +695,7 @@
 /// Returns the waiting tasks of a job in an evacuated zone. The submitter finds
 /// another holder or, if nothing was started, may refuse the caller.
 void
-Scheduler::leaveEvacuated(Job& job)
+Scheduler::returnEvacuatedTasks(Job& job)
 {
   if (!job.hasStarted) {
     finish(job, refusal(job, m_now));
@@ -702,7 +703,7 @@
   }
   TasksReturned returned;
   for (const JobTask& task : job.tasks) {
-    if (isFree(job, task))
+    if (isReturnable(job, task))
       returned.tasks.push_back(task.index);
   }
   returnTasks(job, returned);
@@ -722,7 +723,7 @@
     returned.nextRun = std::max(returned.nextRun, task.nextRun);
     if (task.crashes > 0)
       returned.crashes[task.index] = task.crashes;
-    leavePending(job, task, TaskState::Returned);
+    dequeueTask(job, task, TaskState::Returned);
     ++job.returned;
   }
   job.hasStarted = true;
@@ -746,11 +747,11 @@
 {
   ++task.failures;
   task.restartCause = RestartCause::Failed;
-  task.avoided.insert(task.worker);
+  task.avoidedWorkers.insert(task.worker);
   if (task.failures >= job.request.policy.maxAttempts)
     finish(job, { JobOutcome::Failed, Duration::zero(), {}, 1 });
   else
-    setPending(job, task);
+    enqueueTask(job, task);
 }
 
 /// Counts a worker that was lost while a run of the task was in progress there.
@@ -762,16 +763,16 @@
   ++task.crashes;
   task.restartCause = RestartCause::WorkerLost;
   logTaskCrashed(job, task);
-  if (task.crashes >= m_settings.mostCrashes)
+  if (task.crashes >= m_settings.maxCrashes)
     finish(job, { JobOutcome::Failed, Duration::zero(), {}, 1 });
   else
-    setPending(job, task);
+    enqueueTask(job, task);
 }
 
 void
 Scheduler::runEnded(const WorkerId& worker, const RunKey& key, RunEnd end)
 {
-  noteCopies(worker, key);
+  recordUnansweredStart(worker, key);
   const auto found = m_runs.find(key);
   if (found == m_runs.end())
     return;
@@ -781,17 +782,17 @@
   if (end != RunEnd::Done)
     logRunEnded(job, task, end, m_now);
   if (end == RunEnd::Done) {
-    if (!task.wasFound)
+    if (!task.wasAdopted)
       learn(job, task, worker);
     taskDone(job, task);
   } else if (end == RunEnd::Failed) {
-    m_pool.runFailed(worker, m_now);
+    m_pool.recordFailure(worker, m_now);
     taskFailed(job, task);
-  } else if (m_pool.isLifeOver(worker)) {
+  } else if (m_pool.isIncarnationOver(worker)) {
     taskCrashed(job, task);
   } else {
     task.restartCause = causeOf(end, task.isBeingStopped);
-    setPending(job, task);
+    enqueueTask(job, task);
   }
 }
 
@@ -800,7 +801,7 @@
                          const RunKey& key,
                          OrderFailure failure)
 {
-  noteCopies(worker, key);
+  recordUnansweredStart(worker, key);
   const auto found = m_runs.find(key);
   if (found == m_runs.end())
     return;
@@ -809,7 +810,7 @@
   m_runs.erase(found);
   logStartRejected(job, task, failure);
   if (failure == OrderFailure::StaleRun) {
-    task.nextRun += staleRunStep;
+    task.nextRun += runNumberGap;
     task.restartCause = RestartCause::StaleRun;
   }
   if (failure == OrderFailure::Invalid) {
@@ -817,8 +818,8 @@
     return;
   }
   if (failure != OrderFailure::StaleRun)
-    task.avoided.insert(worker);
-  setPending(job, task);
+    task.avoidedWorkers.insert(worker);
+  enqueueTask(job, task);
 }
 
 /// Makes the task wait to be started again, on the same worker only.
@@ -835,12 +836,12 @@
   logRunEnded(job, task, RunEnd::Lost, m_now);
   task.restartCause = RestartCause::RunLost;
   task.mayReuseRun = true;
-  setPending(job, task);
+  enqueueTask(job, task);
 }
 
 /// Records and announces the start if a copy of it may still be carried out.
 void
-Scheduler::noteCopies(const WorkerId& worker, const RunKey& key)
+Scheduler::recordUnansweredStart(const WorkerId& worker, const RunKey& key)
 {
   if (const auto until = m_pool.unansweredUntil(worker, key))
     tellUnresolved({ key, worker, *until });
@@ -882,7 +883,7 @@
   const auto& request = job.request;
   m_runTimes.record(request.policy.queue, request.needs.estimate, actual);
   const double expected = std::max<double>(1, double(job.expected.count()));
-  m_pool.runWasSlow(worker, double(actual.count()) / expected, m_now);
+  m_pool.recordSlowness(worker, double(actual.count()) / expected, m_now);
 }
 
 void
@@ -925,7 +926,7 @@
 void
 Scheduler::tickJob(Job& job, TimePoint now)
 {
-  if (job.dropAt && now >= *job.dropAt) {
+  if (job.abandonAt && now >= *job.abandonAt) {
     logJobAbandoned(job, m_now);
     drop(job);
     return;
@@ -935,20 +936,20 @@
     return;
   }
   if (hasLostContact(job, now)) {
-    giveBack(job, now);
+    returnJob(job, now);
     return;
   }
   if (!job.hasStarted && now + job.expected > job.worthlessAt) {
     finish(job, refusal(job, now));
     return;
   }
-  if (!endQuarantine(job, now))
+  if (!updateQuarantine(job, now))
     return;
   if (const auto until = unresolvedUntil(job)) {
     finish(job, { JobOutcome::Unresolved, *until - now, {}, 1 });
     return;
   }
-  checkProgress(job, now);
+  stopStalledRuns(job, now);
 }
 
 /// Returns until when some task of the job can't be started anywhere, if that
@@ -965,7 +966,8 @@
     const auto binding = m_unresolved.binding(name);
     if (!binding || binding->until < job.expiresAt || m_pool.isRunning(name))
       continue;
-    if (!binding->worker || !m_pool.isInUse(*binding->worker, job.request))
+    if (!binding->worker ||
+        !m_pool.isAvailableFor(*binding->worker, job.request))
       return binding->until;
   }
   return std::nullopt;
@@ -974,9 +976,9 @@
 /// Stops the job's runs while there is time for that and reports this to the
 /// submitter, which may be alive and hand the job over again.
 void
-Scheduler::giveBack(Job& job, TimePoint now)
+Scheduler::returnJob(Job& job, TimePoint now)
 {
-  logContactLost(job, sinceContact(job, now));
+  logContactLost(job, contactAge(job, now));
   if (!job.hasStarted) {
     finish(job, refusal(job, now));
     return;
@@ -989,7 +991,7 @@
 /// Adopts the runs of quarantined tasks, or ends the quarantine once the tasks
 /// may be started again. Returns false if that ended the job.
 bool
-Scheduler::endQuarantine(Job& job, TimePoint now)
+Scheduler::updateQuarantine(Job& job, TimePoint now)
 {
   for (std::size_t i = 0; i < job.tasks.size(); ++i) {
     JobTask& task = job.tasks[i];
@@ -999,7 +1001,7 @@
     if (adoptRun(job, i, now)) {
       task.state = TaskState::Running;
       logRunAdopted(job, task, now);
-    } else if (m_strayDone.erase(name) > 0) {
+    } else if (m_finishedOrphans.erase(name) > 0) {
       logQuarantineEnded(job, task, true, now);
       const bool isLast = job.done + job.returned + 1 == job.tasks.size();
       taskDone(job, task);
@@ -1009,11 +1011,11 @@
       // The run is being stopped, but the next holder of its worker may prevent
       // that.
       continue;
-    } else if (const auto cause = causeToRestart(job, task, now);
+    } else if (const auto cause = restartCauseOf(job, task, now);
                cause != RestartCause::None) {
       task.restartCause = cause;
       logQuarantineEnded(job, task, false, now);
-      setPending(job, task);
+      enqueueTask(job, task);
     }
   }
   return true;
@@ -1022,44 +1024,44 @@
 /// Returns why a quarantined task may be started again, or `None` while an
 /// earlier run may be in progress.
 RestartCause
-Scheduler::causeToRestart(const Job& job,
+Scheduler::restartCauseOf(const Job& job,
                           const JobTask& task,
                           TimePoint now) const
 {
-  if (isSurelyOver(job, task))
-    return task.lastWorker.isEmpty() ? RestartCause::ShardClaimed
-                                     : RestartCause::WorkerTold;
-  return now >= task.quarantinedUntil ? RestartCause::TimePassed
+  if (isEarlierRunOver(job, task))
+    return task.lastWorker.isEmpty() ? RestartCause::ShardReported
+                                     : RestartCause::WorkerReported;
+  return now >= task.quarantinedUntil ? RestartCause::QuarantineExpired
                                       : RestartCause::None;
 }
 
 /// Whether the workers that may have an earlier run of the task have reported
 /// that it is over. That the platform doesn't list a worker proves nothing.
 bool
-Scheduler::isSurelyOver(const Job& job, const JobTask& task) const
+Scheduler::isEarlierRunOver(const Job& job, const JobTask& task) const
 {
   const auto& quarantine = job.request.quarantine;
   if (!quarantine)
     return false;
   if (!task.lastWorker.isEmpty())
-    return m_pool.isClaimed(task.lastWorker, job.lostAt);
+    return m_pool.hasWorkerReported(task.lastWorker, job.lostAt);
   return !quarantine->underWay && quarantine->lastHolders &&
-         m_pool.isFullyClaimed(quarantine->lastHolders->shard,
-                               quarantine->lastHolders->digest,
-                               job.lostAt);
+         m_pool.hasShardReported(quarantine->lastHolders->shard,
+                                 quarantine->lastHolders->digest,
+                                 job.lostAt);
 }
 
 void
-Scheduler::checkProgress(Job& job, TimePoint now)
+Scheduler::stopStalledRuns(Job& job, TimePoint now)
 {
   for (JobTask& task : job.tasks) {
     if (task.state != TaskState::Running || !isStalled(job, task, now))
       continue;
     ++task.restarts;
     task.isBeingStopped = true;
-    task.avoided.insert(task.worker);
+    task.avoidedWorkers.insert(task.worker);
     logRunStalled(job, task, now);
-    m_pool.workerStalled(task.worker, now);
+    m_pool.recordStall(task.worker, now);
     m_pool.stop(
       task.worker, RunKey(job.request.taskName(task.index), task.run), now);
   }
@@ -1068,10 +1070,10 @@
 bool
 Scheduler::isStalled(const Job& job, const JobTask& task, TimePoint now) const
 {
-  if (task.isBeingStopped || task.restarts >= m_settings.maxRestarts)
+  if (task.isBeingStopped || task.restarts >= m_settings.maxStallRestarts)
     return false;
-  const Duration quiet = now - task.progressAt;
-  return quiet >
+  const Duration sinceProgress = now - task.progressAt;
+  return sinceProgress >
          scaled(job.expected, m_settings.stallFactor) + m_settings.stallMargin;
 }
 
--- a/src/libjobs/scheduler.h
+++ b/src/libjobs/scheduler.h
@@ -48,26 +48,26 @@
     /// How long the runs of a submitter go on after it became unreachable.
     /// Together with the time that a stop takes, this is well below the 1,300
     /// ms after which a caller submits its job again.
-    Duration detachedLimit = std::chrono::milliseconds(200);
+    Duration lostSubmitterGrace = std::chrono::milliseconds(200);
     /// The same for a submitter from which nothing was received for the silence
     /// limit between daemons, 450 ms. If the worker can't be reached either,
     /// its lease has to expire as well: 450 + 50 + 765 = 1,265 ms in total.
-    Duration silentDetachedLimit = std::chrono::milliseconds(50);
+    Duration silentSubmitterGrace = std::chrono::milliseconds(50);
     /// A run is stopped, and its task started again elsewhere, when the run has
     /// made no progress for this many times its expected run time plus
     /// `stallMargin`.
     double stallFactor = 2.0;
     Duration stallMargin = std::chrono::milliseconds(150);
-    unsigned maxRestarts = 3;
+    unsigned maxStallRestarts = 3;
     /// A task during whose runs this many workers were lost gets a worker of
     /// its own, as the task may be what crashes them.
-    unsigned suspectCrashes = 2;
+    unsigned isolateAfterCrashes = 2;
     /// A task during whose runs this many workers were lost is given up, and
     /// its job fails.
-    unsigned mostCrashes = 3;
+    unsigned maxCrashes = 3;
     /// A job is returned to its submitter when the submitter's last contact is
     /// older than this, because messages from it arrive late.
-    Duration contactLimit = std::chrono::milliseconds(850);
+    Duration maxContactAge = std::chrono::milliseconds(850);
     /// Nothing is started for a submitter whose last contact is older than
     /// this. A run lasts at least as long as the lease that its worker already
     /// has, as leases are never shortened. This limit and the lease time add up
@@ -75,7 +75,7 @@
     Duration startContactLimit = std::chrono::milliseconds(490);
     /// How long the end of an orphaned run is remembered for a job that may ask
     /// for its task.
-    Duration strayEndsKept = std::chrono::seconds(2);
+    Duration orphanEndRetention = std::chrono::seconds(2);
   };
 
   /// All hooks must be set.
@@ -164,12 +164,12 @@
 
   /// Sets the free slots of a shard as its holder, another daemon, last
   /// advertised them. Ignored for a zone that is being evacuated.
-  void setPeerPlaces(const VmId& vm, const ShardId& shard, unsigned places)
+  void setPeerPlaces(const VmId& vm, const ShardId& shard, unsigned slots)
   {
     if (!m_pool.isEvacuated(shard.zone()))
-      m_peerPlaces.set(vm, shard, places);
+      m_peerSlots.set(vm, shard, slots);
   }
-  void forgetPeer(const VmId& vm) { m_peerPlaces.forget(vm); }
+  void forgetPeer(const VmId& vm) { m_peerSlots.forget(vm); }
   /// Adds a start of unknown outcome that another holder has announced.
   void addUnresolved(const UnresolvedStart& start) { m_unresolved.add(start); }
   /// Returns all known starts of unknown outcome, including those that other
@@ -215,35 +215,35 @@
   };
 
   WorkerPool::Hooks poolHooks();
-  void leaveRunsBehind(Job& job, const ShardId& shard);
+  void quarantineRunsOn(Job& job, const ShardId& shard);
   std::optional<TimePoint> wantedUntil(const RunKey& key) const;
-  Duration sinceContact(const Job& job, TimePoint now) const;
+  Duration contactAge(const Job& job, TimePoint now) const;
   bool mayStart(const Job& job, TimePoint now) const;
   bool hasLostContact(const Job& job, TimePoint now) const;
   bool adoptRun(Job& job, std::size_t position, TimePoint now);
-  void findRuns(Job& job, TimePoint now);
+  void adoptOrQuarantineRuns(Job& job, TimePoint now);
   bool mustRefuse(const Job& job, TimePoint now) const;
   JobEnd refusal(const Job& job, TimePoint now) const;
-  void setPending(Job& job, JobTask& task);
-  void leavePending(Job& job, JobTask& task, TaskState state);
-  void pump(TimePoint now);
-  void pumpJob(Job& job, TimePoint now);
+  void enqueueTask(Job& job, JobTask& task);
+  void dequeueTask(Job& job, JobTask& task, TaskState state);
+  void dispatch(TimePoint now);
+  void dispatchJob(Job& job, TimePoint now);
   bool startTask(Job& job, std::size_t position, TimePoint now);
-  WorkerLimits limitsOf(
+  WorkerConstraints constraintsOf(
     const Job& job,
     const JobTask& task,
     const std::optional<UnresolvedStarts::Binding>& binding) const;
-  void adoptPending(Job& job, std::size_t position, TimePoint now);
+  void adoptUnresolvedStart(Job& job, std::size_t position, TimePoint now);
   void returnTasks(Job& job);
-  void leaveEvacuated(Job& job);
-  bool isFree(const Job& job, const JobTask& task) const;
+  void returnEvacuatedTasks(Job& job);
+  bool isReturnable(const Job& job, const JobTask& task) const;
   void returnTasks(Job& job, const TasksReturned& returned);
   bool isEvacuated(const Job& job) const
   {
     return m_pool.isEvacuated(job.request.shard.zone());
   }
-  void noteSize(const Resources& resources);
-  std::optional<PeerPlaces::Offer> offerFor(const Job& job) const;
+  void recordTaskSize(const Resources& resources);
+  std::optional<PeerSlots::Offer> peerOfferFor(const Job& job) const;
   bool attach(const JobRequest& request);
   void taskDone(Job& job, JobTask& task);
   void taskFailed(Job& job, JobTask& task);
@@ -253,7 +253,7 @@
                      const RunKey& key,
                      OrderFailure failure);
   void startUnresolved(const UnresolvedStart& start);
-  void noteCopies(const WorkerId& worker, const RunKey& key);
+  void recordUnansweredStart(const WorkerId& worker, const RunKey& key);
   bool mayResend(const RunKey& key) const;
   void tellUnresolved(const UnresolvedStart& start);
   void runActive(const WorkerId& worker, const RunKey& key, int percent);
@@ -263,15 +263,15 @@
   void drop(Job& job);
   void tickJobs(TimePoint now);
   void tickJob(Job& job, TimePoint now);
-  void giveBack(Job& job, TimePoint now);
+  void returnJob(Job& job, TimePoint now);
   std::optional<TimePoint> unresolvedUntil(const Job& job) const;
   void quarantine(Job& job, JobTask& task, TimePoint now);
-  bool endQuarantine(Job& job, TimePoint now);
-  bool isSurelyOver(const Job& job, const JobTask& task) const;
-  RestartCause causeToRestart(const Job& job,
+  bool updateQuarantine(Job& job, TimePoint now);
+  bool isEarlierRunOver(const Job& job, const JobTask& task) const;
+  RestartCause restartCauseOf(const Job& job,
                               const JobTask& task,
                               TimePoint now) const;
-  void checkProgress(Job& job, TimePoint now);
+  void stopStalledRuns(Job& job, TimePoint now);
   bool isStalled(const Job& job, const JobTask& task, TimePoint now) const;
 
   const VmId m_self;
@@ -284,15 +284,15 @@
   AdmittedLoad m_load;
   std::map<RunKey, RunOwner> m_runs;
   UnresolvedStarts m_unresolved;
-  PeerPlaces m_peerPlaces;
+  PeerSlots m_peerSlots;
   LossLog m_losses;
   /// Tasks whose orphaned run was reported done when no job had asked for them,
   /// with the time of the report.
-  std::unordered_map<std::string, TimePoint> m_strayDone;
+  std::unordered_map<std::string, TimePoint> m_finishedOrphans;
   /// Moving mean of the CPU that a task needs, in thousandths of a core.
-  double m_usualCpuMillis = 0;
+  double m_meanCpuMillis = 0;
   bool m_isSuspended = false;
-  bool m_isPumping = false;
+  bool m_isDispatching = false;
   TimePoint m_now{};
 };
 
--- a/src/libjobs/shardmap.cpp
+++ b/src/libjobs/shardmap.cpp
@@ -13,7 +13,7 @@
 constexpr double hysteresis = 0.2;
 
 unsigned
-countFor(std::size_t workers, std::size_t bound)
+shardCountFor(std::size_t workers, std::size_t bound)
 {
   unsigned count = 1;
   while (count * bound < workers)
@@ -24,13 +24,14 @@
 /// Whether a zone with this many workers has to be divided into another number
 /// of shards.
 bool
-mustChange(unsigned count, std::size_t workers, std::size_t bound)
+needsOtherCount(unsigned count, std::size_t workers, std::size_t bound)
 {
   const auto more =
     static_cast<std::size_t>(double(workers) * (1 - hysteresis));
   const auto fewer =
     static_cast<std::size_t>(double(workers) * (1 + hysteresis));
-  return countFor(more, bound) > count || countFor(fewer, bound) < count;
+  return shardCountFor(more, bound) > count ||
+         shardCountFor(fewer, bound) < count;
 }
 
 } // namespace
@@ -48,10 +49,10 @@
 }
 
 std::size_t
-ShardMap::boundOf(const ZoneName& zone) const
+ShardMap::maxSizeOf(const ZoneName& zone) const
 {
   const auto bound = m_bounds.find(zone);
-  return bound == m_bounds.end() ? mostWorkersPerShard : bound->second;
+  return bound == m_bounds.end() ? maxWorkersPerShard : bound->second;
 }
 
 bool
@@ -65,10 +66,10 @@
     const auto [found, isNew] = m_divisions.try_emplace(zone);
     Division& division = found->second;
     division.size = size;
-    const std::size_t bound = boundOf(zone);
-    if (!isNew && !mustChange(division.count, size, bound))
+    const std::size_t bound = maxSizeOf(zone);
+    if (!isNew && !needsOtherCount(division.count, size, bound))
       continue;
-    division.count = countFor(size, bound);
+    division.count = shardCountFor(size, bound);
     isChanged = isChanged || !isNew;
   }
   return isChanged;
@@ -79,7 +80,8 @@
 {
   const auto found = m_divisions.find(shard.zone());
   if (found == m_divisions.end() || shard.count() <= found->second.count ||
-      mustChange(shard.count(), found->second.size, boundOf(shard.zone())))
+      needsOtherCount(
+        shard.count(), found->second.size, maxSizeOf(shard.zone())))
     return false;
   found->second.count = shard.count();
   return true;
--- a/src/libjobs/shardmap.h
+++ b/src/libjobs/shardmap.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "carriedworkers.h"
+#include "machinelimits.h"
 
 #include "libworkers/workerrecord.h"
 
@@ -31,7 +31,7 @@
 {
 public:
   /// Sets the maximum number of workers per shard in each zone, applied from
-  /// the next list on. Other zones have `mostWorkersPerShard`.
+  /// the next list on. Other zones have `maxWorkersPerShard`.
   void setBounds(std::map<ZoneName, std::size_t> bounds);
   /// Sets the list of workers. Returns true if the number of some zone's shards
   /// has changed.
@@ -58,7 +58,7 @@
     std::size_t size = 0;
   };
 
-  std::size_t boundOf(const ZoneName& zone) const;
+  std::size_t maxSizeOf(const ZoneName& zone) const;
 
   std::map<ZoneName, std::size_t> m_bounds;
   std::map<ZoneName, Division> m_divisions;
--- a/src/libjobs/shardsizes.cpp
+++ b/src/libjobs/shardsizes.cpp
@@ -6,25 +6,26 @@
 
 /// How long a higher maximum must be possible before it is applied. A machine
 /// that is restarted or replaced is back within this time.
-constexpr Duration raiseAfter = std::chrono::seconds(20);
+constexpr Duration raiseDelay = std::chrono::seconds(20);
 
 } // namespace
 
 bool
-ShardSizes::update(const std::map<ZoneName, std::size_t>& weakest,
+ShardSizes::update(const std::map<ZoneName, std::size_t>& smallestCapacity,
                    TimePoint now)
 {
   bool isChanged = false;
-  for (const auto& [zone, workers] : weakest) {
-    const auto [bound, isNew] = m_bounds.try_emplace(zone, mostWorkersPerShard);
+  for (const auto& [zone, workers] : smallestCapacity) {
+    const auto [bound, isNew] = m_bounds.try_emplace(zone, maxWorkersPerShard);
     if (workers == bound->second) {
-      m_higherSince.erase(zone);
+      m_raisableSince.erase(zone);
       continue;
     }
-    const TimePoint since = m_higherSince.try_emplace(zone, now).first->second;
-    if (!isNew && workers > bound->second && now - since < raiseAfter)
+    const TimePoint since =
+      m_raisableSince.try_emplace(zone, now).first->second;
+    if (!isNew && workers > bound->second && now - since < raiseDelay)
       continue;
-    m_higherSince.erase(zone);
+    m_raisableSince.erase(zone);
     isChanged = isChanged || bound->second != workers;
     bound->second = workers;
   }
--- a/src/libjobs/shardsizes.h
+++ b/src/libjobs/shardsizes.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "carriedworkers.h"
+#include "machinelimits.h"
 
 #include "libcore/core.h"
 
@@ -16,16 +16,18 @@
 class ShardSizes
 {
 public:
-  /// Updates the maximums. `weakest` is how many workers the weakest reachable
-  /// daemon of each zone can hold. Returns true if some maximum has changed.
-  bool update(const std::map<ZoneName, std::size_t>& weakest, TimePoint now);
+  /// Updates the maximums. `smallestCapacity` is how many workers the weakest
+  /// reachable daemon of each zone can hold. Returns true if some maximum has
+  /// changed.
+  bool update(const std::map<ZoneName, std::size_t>& smallestCapacity,
+              TimePoint now);
 
   const std::map<ZoneName, std::size_t>& bounds() const { return m_bounds; }
 
 private:
   std::map<ZoneName, std::size_t> m_bounds;
   /// Since when all of a zone's daemons can hold more workers than the maximum.
-  std::map<ZoneName, TimePoint> m_higherSince;
+  std::map<ZoneName, TimePoint> m_raisableSince;
 };
 
 } // namespace cowslippin
--- a/src/libjobs/workerpool.cpp
+++ b/src/libjobs/workerpool.cpp
@@ -14,7 +14,7 @@
 
 /// Whether the worker has the service and the label that the job requires.
 bool
-isOfKind(const WorkerRecord& worker, const JobRequest& request)
+matchesRequest(const WorkerRecord& worker, const JobRequest& request)
 {
   const std::string& label = request.needs.requiredLabel;
   return worker.service() == request.policy.service &&
@@ -42,7 +42,7 @@
 {
   m_list = list;
   m_map.update(list);
-  noteCapacities();
+  recordCapacities();
   for (auto& [id, entry] : m_entries)
     entry.isListed = m_list.count(id) > 0;
   for (const auto& [id, record] : m_list) {
@@ -53,11 +53,11 @@
     } else if (holds(m_map.shardOf(record)))
       addWorker(record, now);
   }
-  dropUnlisted();
+  removeUnlisted();
 }
 
 void
-WorkerPool::noteCapacities()
+WorkerPool::recordCapacities()
 {
   std::map<WorkerId, Resources> full;
   for (const auto& [id, record] : m_list) {
@@ -116,11 +116,11 @@
 }
 
 bool
-WorkerPool::isFullyClaimed(const ShardId& shard,
-                           ShardDigest lastHoldersWorkers,
-                           TimePoint since) const
+WorkerPool::hasShardReported(const ShardId& shard,
+                             ShardDigest previousHolderDigest,
+                             TimePoint since) const
 {
-  if (!holds(shard) || digest(shard) != lastHoldersWorkers)
+  if (!holds(shard) || digest(shard) != previousHolderDigest)
     return false;
   return std::all_of(m_entries.begin(), m_entries.end(), [&](const auto& item) {
     return item.second.shard != shard ||
@@ -129,7 +129,7 @@
 }
 
 bool
-WorkerPool::isClaimed(const WorkerId& worker, TimePoint since) const
+WorkerPool::hasWorkerReported(const WorkerId& worker, TimePoint since) const
 {
   const auto found = m_entries.find(worker);
   return found != m_entries.end() &&
@@ -138,25 +138,29 @@
 
 std::optional<WorkerId>
 WorkerPool::choose(const JobRequest& request,
-                   const WorkerLimits& limits,
+                   const WorkerConstraints& constraints,
                    TimePoint now) const
 {
   using Rank = std::tuple<bool, bool, std::int64_t>;
   std::optional<std::pair<Rank, WorkerId>> best;
   for (const auto& [id, entry] : m_entries) {
-    const bool isTooFull = limits.mustBeIdle && entry.lease->runCount() > 0;
-    const bool isUnknown = entry.addedAt > limits.toldUntil;
-    if (!isAllowed(id, entry, limits) || isTooFull || isUnknown ||
-        !isSuitable(entry, request, limits, now))
+    const bool isNotIdle =
+      constraints.mustBeIdle && entry.lease->runCount() > 0;
+    const bool isNotAdvertised = entry.addedAt > constraints.toldUntil;
+    if (!isAllowed(id, entry, constraints) || isNotIdle || isNotAdvertised ||
+        !canStartSafely(entry, request, constraints, now))
       continue;
-    const auto here = limits.perWorker.find(id);
-    if (request.needs.maxPerWorker > 0 && here != limits.perWorker.end() &&
-        here->second >= request.needs.maxPerWorker)
+    const auto runsHere = constraints.perWorker.find(id);
+    if (request.needs.maxPerWorker > 0 &&
+        runsHere != constraints.perWorker.end() &&
+        runsHere->second >= request.needs.maxPerWorker)
       continue;
     const std::string& rack = request.needs.preferredRack;
-    const bool isFar = !rack.empty() && !entry.lease->record().hasLabel(rack);
+    const bool isOtherRack =
+      !rack.empty() && !entry.lease->record().hasLabel(rack);
     const Resources left = entry.lease->freeRoom() - request.needs.resources;
-    const Rank rank(limits.avoided.count(id) > 0, isFar, left.cpuMillis());
+    const Rank rank(
+      constraints.avoidedWorkers.count(id) > 0, isOtherRack, left.cpuMillis());
     if (!best || rank < best->first)
       best.emplace(rank, id);
   }
@@ -170,7 +174,7 @@
 {
   const auto fits = [&](const auto& item) {
     const WorkerRecord& record = item.second;
-    return isOfKind(record, request) && !isEvacuated(record.zone()) &&
+    return matchesRequest(record, request) && !isEvacuated(record.zone()) &&
            request.needs.resources.fitsIn(m_fullCapacity.at(record.id()));
   };
   return std::any_of(m_list.begin(), m_list.end(), fits);
@@ -193,7 +197,7 @@
 }
 
 bool
-WorkerPool::isLifeOver(const WorkerId& worker) const
+WorkerPool::isIncarnationOver(const WorkerId& worker) const
 {
   const auto found = m_entries.find(worker);
   if (found == m_entries.end())
@@ -217,14 +221,15 @@
 }
 
 bool
-WorkerPool::refreshForStart(const JobRequest& request,
-                            const WorkerLimits& limits,
-                            TimePoint now)
+WorkerPool::requestReportsForStart(const JobRequest& request,
+                                   const WorkerConstraints& constraints,
+                                   TimePoint now)
 {
   bool isRequested = false;
   for (auto& [id, entry] : m_entries) {
-    if (!isAllowed(id, entry, limits) || !isEligible(entry, request, now) ||
-        isSuitable(entry, request, limits, now))
+    if (!isAllowed(id, entry, constraints) ||
+        !isEligible(entry, request, now) ||
+        canStartSafely(entry, request, constraints, now))
       continue;
     entry.lease->refresh(now);
     isRequested = true;
@@ -254,7 +259,8 @@
 }
 
 bool
-WorkerPool::isInUse(const WorkerId& worker, const JobRequest& request) const
+WorkerPool::isAvailableFor(const WorkerId& worker,
+                           const JobRequest& request) const
 {
   const auto found = m_entries.find(worker);
   if (found == m_entries.end())
@@ -265,8 +271,8 @@
                            lease.state() == LeaseState::Claiming ||
                            lease.state() == LeaseState::Restarted;
   return isReachable && entry.isListed && entry.shard == request.shard &&
-         isOfKind(lease.record(), request) && !lease.record().isDraining() &&
-         !isEvacuated(lease.record().zone());
+         matchesRequest(lease.record(), request) &&
+         !lease.record().isDraining() && !isEvacuated(lease.record().zone());
 }
 
 std::optional<std::pair<WorkerId, RunKey>>
@@ -284,7 +290,7 @@
 }
 
 void
-WorkerPool::renewAdopted(const WorkerId& worker, TimePoint now)
+WorkerPool::renewAfterAdoption(const WorkerId& worker, TimePoint now)
 {
   Entry* entry = find(worker);
   if (entry != nullptr && !entry->lease->hasStrays())
@@ -303,7 +309,7 @@
 }
 
 bool
-WorkerPool::isOfShard(const WorkerId& worker, const ShardId& shard) const
+WorkerPool::belongsToShard(const WorkerId& worker, const ShardId& shard) const
 {
   const auto found = m_entries.find(worker);
   return worker.isEmpty() ||
@@ -348,21 +354,23 @@
 }
 
 void
-WorkerPool::runWasSlow(const WorkerId& worker, double slowness, TimePoint now)
+WorkerPool::recordSlowness(const WorkerId& worker,
+                           double slowness,
+                           TimePoint now)
 {
   if (Entry* entry = find(worker))
     entry->health.ended(RunEnd::Done, slowness, now);
 }
 
 void
-WorkerPool::runFailed(const WorkerId& worker, TimePoint now)
+WorkerPool::recordFailure(const WorkerId& worker, TimePoint now)
 {
   if (Entry* entry = find(worker))
     entry->health.ended(RunEnd::Failed, 0, now);
 }
 
 void
-WorkerPool::workerStalled(const WorkerId& worker, TimePoint now)
+WorkerPool::recordStall(const WorkerId& worker, TimePoint now)
 {
   if (Entry* entry = find(worker))
     entry->health.stalled(now);
@@ -373,24 +381,24 @@
 {
   for (auto& [id, entry] : m_entries)
     entry.lease->tick(now);
-  dropUnlisted();
+  removeUnlisted();
   reclaim(now);
 }
 
 unsigned
-WorkerPool::freePlaces(const ShardId& shard,
-                       std::int64_t cpuMillis,
-                       TimePoint now) const
+WorkerPool::freeSlots(const ShardId& shard,
+                      std::int64_t cpuMillis,
+                      TimePoint now) const
 {
-  std::int64_t places = 0;
+  std::int64_t slots = 0;
   for (const auto& [id, entry] : m_entries) {
     const WorkerLease& lease = *entry.lease;
     if (entry.shard == shard && entry.health.isUsable(lease.runCount(), now) &&
         canStart(entry, Resources(cpuMillis, 0, 0)))
-      places +=
+      slots +=
         lease.freeRoom().cpuMillis() / std::max<std::int64_t>(cpuMillis, 1);
   }
-  return static_cast<unsigned>(places);
+  return static_cast<unsigned>(slots);
 }
 
 std::int64_t
@@ -478,13 +486,13 @@
   hooks.runActive = [this, id](const RunKey& key, int percent) {
     m_hooks.runActive(id, key, percent);
   };
-  hooks.strayFound = [id](const RunKey& key) { logStrayFound(id, key); };
-  hooks.strayStopped = [id](const auto& note) { logNote(id, note); };
-  hooks.stopFailed = [id](const auto& note) { logNote(id, note); };
-  hooks.unwantedRenewal = [id](const auto& note) { logNote(id, note); };
-  hooks.lapsed = [id](const auto& note) { logNote(id, note); };
+  hooks.strayFound = [id](const RunKey& key) { logOrphanFound(id, key); };
+  hooks.strayStopped = [id](const auto& note) { logLeaseEvent(id, note); };
+  hooks.stopFailed = [id](const auto& note) { logLeaseEvent(id, note); };
+  hooks.unwantedRenewal = [id](const auto& note) { logLeaseEvent(id, note); };
+  hooks.lapsed = [id](const auto& note) { logLeaseEvent(id, note); };
   hooks.strayEnded = [this, id](const RunKey& key, RunEnd end) {
-    logStrayEnded(id, key, end);
+    logOrphanEnded(id, key, end);
     m_hooks.strayEnded(id, key, end);
   };
   hooks.wantedUntil = m_hooks.wantedUntil;
@@ -528,7 +536,7 @@
 }
 
 void
-WorkerPool::dropUnlisted()
+WorkerPool::removeUnlisted()
 {
   for (auto entry = m_entries.begin(); entry != m_entries.end();) {
     const WorkerLease& lease = *entry->second.lease;
@@ -551,8 +559,8 @@
     if (!entry.fencedAt) {
       entry.fencedAt = now;
       entry.reclaimWait = std::clamp(entry.reclaimWait * 2,
-                                     m_settings.reclaimAfter,
-                                     m_settings.reclaimAfterMax);
+                                     m_settings.reclaimDelay,
+                                     m_settings.maxReclaimDelay);
     }
     if (now - *entry.fencedAt < entry.reclaimWait)
       continue;
@@ -577,21 +585,23 @@
 bool
 WorkerPool::isAllowed(const WorkerId& id,
                       const Entry& entry,
-                      const WorkerLimits& limits)
+                      const WorkerConstraints& constraints)
 {
-  const bool isBoundElsewhere = limits.boundTo && *limits.boundTo != id;
-  return !isBoundElsewhere && entry.lease->leasedUntil() <= limits.leasedUntil;
+  const bool isOtherRequired =
+    constraints.requiredWorker && *constraints.requiredWorker != id;
+  return !isOtherRequired &&
+         entry.lease->leasedUntil() <= constraints.leasedUntil;
 }
 
 bool
-WorkerPool::isSuitable(const Entry& entry,
-                       const JobRequest& request,
-                       const WorkerLimits& limits,
-                       TimePoint now) const
+WorkerPool::canStartSafely(const Entry& entry,
+                           const JobRequest& request,
+                           const WorkerConstraints& constraints,
+                           TimePoint now) const
 {
   return isEligible(entry, request, now) &&
          entry.lease->isSafeToStart(request.needs.resources, now) &&
-         (!limits.boundTo || entry.lease->isReportFresh(now));
+         (!constraints.requiredWorker || entry.lease->isReportFresh(now));
 }
 
 bool
@@ -601,7 +611,7 @@
 {
   const WorkerLease& lease = *entry.lease;
   return entry.isListed && entry.shard == request.shard &&
-         isOfKind(lease.record(), request) &&
+         matchesRequest(lease.record(), request) &&
          canStart(entry, request.needs.resources) &&
          entry.health.isUsable(lease.runCount(), now);
 }
--- a/src/libjobs/workerpool.h
+++ b/src/libjobs/workerpool.h
@@ -18,10 +18,10 @@
 namespace cowslippin {
 
 /// Constraints on the choice of a worker for a task.
-struct WorkerLimits
+struct WorkerConstraints
 {
   /// Workers that are chosen only if no other worker has room.
-  std::set<WorkerId> avoided;
+  std::set<WorkerId> avoidedWorkers;
   /// Number of the job's runs on each worker, if that number is limited.
   std::map<WorkerId, unsigned> perWorker;
   /// Whether only a worker without any runs may be chosen.
@@ -33,7 +33,7 @@
   /// The only worker that may be chosen, and only right after a prompt report.
   /// It may still carry out an earlier start of the task, which would run at
   /// the same time as one on another worker.
-  std::optional<WorkerId> boundTo = std::nullopt;
+  std::optional<WorkerId> requiredWorker = std::nullopt;
   /// Workers whose lease lasts longer are not chosen: leases are never
   /// shortened, and a run lasts as long as the lease of its worker.
   TimePoint leasedUntil = TimePoint::max();
@@ -51,9 +51,9 @@
     AnswerTimes::Settings answers;
     /// How long to wait before claiming back a worker that another daemon has
     /// claimed although that daemon doesn't hold the shard.
-    Duration reclaimAfter = std::chrono::milliseconds(300);
+    Duration reclaimDelay = std::chrono::milliseconds(300);
     /// The wait doubles with each attempt up to this maximum.
-    Duration reclaimAfterMax = std::chrono::milliseconds(1500);
+    Duration maxReclaimDelay = std::chrono::milliseconds(1500);
   };
 
   /// All hooks must be set. They are called from within the pool's functions.
@@ -126,21 +126,21 @@
   /// Whether all runs that may be in progress on the workers of a held shard
   /// are known: all workers have answered a request for a report made at
   /// `since` or later, and they are the workers that the previous holder had.
-  bool isFullyClaimed(const ShardId& shard,
-                      ShardDigest lastHoldersWorkers,
-                      TimePoint since) const;
+  bool hasShardReported(const ShardId& shard,
+                        ShardDigest previousHolderDigest,
+                        TimePoint since) const;
   /// Whether all runs that may be in progress on this worker are known: it has
   /// answered a request for a report made at `since` or later.
-  bool isClaimed(const WorkerId& worker, TimePoint since) const;
+  bool hasWorkerReported(const WorkerId& worker, TimePoint since) const;
 
   /// Returns the worker for a task, or nothing if none has room. Prefers the
   /// fullest worker that has room, which keeps room for large tasks.
   std::optional<WorkerId> choose(const JobRequest& request,
-                                 const WorkerLimits& limits,
+                                 const WorkerConstraints& constraints,
                                  TimePoint now) const;
   /// Whether the worker can be reached and may run such a task once it has
   /// room.
-  bool isInUse(const WorkerId& worker, const JobRequest& request) const;
+  bool isAvailableFor(const WorkerId& worker, const JobRequest& request) const;
 
   /// Whether any listed worker outside the evacuated zones is large enough for
   /// such a task.
@@ -155,16 +155,16 @@
   void reserve(const WorkerId& worker, const RunKey& key);
   /// Whether the worker has restarted, or another worker has its address, so
   /// that its runs were lost. A silent worker may only be unreachable.
-  bool isLifeOver(const WorkerId& worker) const;
+  bool isIncarnationOver(const WorkerId& worker) const;
   void stop(const WorkerId& worker, const RunKey& key, TimePoint now);
   /// Requests a report from a held worker at once.
   void refresh(const WorkerId& worker, TimePoint now);
   /// Requests a report from each worker that has room for such a task but needs
   /// a recent report before the task can safely start there. Returns false if
   /// there is none.
-  bool refreshForStart(const JobRequest& request,
-                       const WorkerLimits& limits,
-                       TimePoint now);
+  bool requestReportsForStart(const JobRequest& request,
+                              const WorkerConstraints& constraints,
+                              TimePoint now);
   /// See `WorkerLease::unansweredUntil`.
   std::optional<TimePoint> unansweredUntil(const WorkerId& worker,
                                            const RunKey& key) const;
@@ -181,7 +181,7 @@
                                                    TimePoint since);
   /// Renews the lease of a worker whose last orphaned run was adopted. Orphaned
   /// runs hold renewals up.
-  void renewAdopted(const WorkerId& worker, TimePoint now);
+  void renewAfterAdoption(const WorkerId& worker, TimePoint now);
   /// Whether a run of the task is, or may be, in progress on a held worker.
   bool isRunning(const std::string& task) const
   {
@@ -193,7 +193,7 @@
 
   /// Whether the worker is held for this shard. Also true for an empty id,
   /// which may stand for any worker.
-  bool isOfShard(const WorkerId& worker, const ShardId& shard) const;
+  bool belongsToShard(const WorkerId& worker, const ShardId& shard) const;
 
   void holdAnswered(const WorkerId& worker,
                     const SentHold& sent,
@@ -207,15 +207,15 @@
                     const RunKey& key,
                     const OrderAnswer& answer,
                     TimePoint now);
-  void runWasSlow(const WorkerId& worker, double slowness, TimePoint now);
-  void runFailed(const WorkerId& worker, TimePoint now);
-  void workerStalled(const WorkerId& worker, TimePoint now);
+  void recordSlowness(const WorkerId& worker, double slowness, TimePoint now);
+  void recordFailure(const WorkerId& worker, TimePoint now);
+  void recordStall(const WorkerId& worker, TimePoint now);
   void tick(TimePoint now);
 
   /// Returns how many tasks of this size could be started now.
-  unsigned freePlaces(const ShardId& shard,
-                      std::int64_t cpuMillis,
-                      TimePoint now) const;
+  unsigned freeSlots(const ShardId& shard,
+                     std::int64_t cpuMillis,
+                     TimePoint now) const;
   /// Returns the capacity of the usable workers of a shard, in use or free.
   std::int64_t totalCpuMillis(const ShardId& shard, TimePoint now) const;
   /// Returns the largest free capacity on any one worker.
@@ -259,8 +259,8 @@
   void addWorker(const WorkerRecord& record, TimePoint now);
   WorkerLease::Hooks leaseHooks(const WorkerId& id);
   void claimRestarted(const WorkerId& id, Entry& entry, TimePoint now);
-  void dropUnlisted();
-  void noteCapacities();
+  void removeUnlisted();
+  void recordCapacities();
   void reclaim(TimePoint now);
   /// Whether a task of this size can be started on the worker now.
   bool canStart(const Entry& entry, const Resources& resources) const;
@@ -273,13 +273,13 @@
   /// change.
   static bool isAllowed(const WorkerId& id,
                         const Entry& entry,
-                        const WorkerLimits& limits);
+                        const WorkerConstraints& constraints);
   /// Whether the worker is eligible and would stay within its capacity even
   /// after an undetected restart.
-  bool isSuitable(const Entry& entry,
-                  const JobRequest& request,
-                  const WorkerLimits& limits,
-                  TimePoint now) const;
+  bool canStartSafely(const Entry& entry,
+                      const JobRequest& request,
+                      const WorkerConstraints& constraints,
+                      TimePoint now) const;
 
   const Settings m_settings;
   const Hooks m_hooks;
--- a/tests/jobs/latestart_test.cpp
+++ b/tests/jobs/latestart_test.cpp
@@ -28,7 +28,7 @@
   /// The task's start is late; the worker that will get it.
   WorkerId startLate(const JobRequest& job)
   {
-    fixture.areStartsLate = true;
+    fixture.delaysStarts = true;
     fixture.scheduler.submit(job, fixture.now);
     EXPECT_EQ(fixture.lateStarts.size(), 1u);
     return fixture.lateStarts.at(0).first;
@@ -47,7 +47,7 @@
     fixture.scheduler.submit(job, fixture.now);
     for (const auto& order : std::exchange(fixture.orders, {}))
       order();
-    fixture.restartUnnoticed(worker, 2);
+    fixture.restartUndetected(worker, 2);
     fixture.deliver();
     EXPECT_EQ(fixture.workerOf(job.taskPrefix + "0"), worker);
   }
@@ -68,10 +68,10 @@
   const JobRequest job = fixture.request("a", 1, 6800, 2000);
   const WorkerId worker = startLate(job);
   fixture.drain(worker);
-  fixture.areStartsLate = false;
+  fixture.delaysStarts = false;
   fixture.pass(400);
   EXPECT_EQ(fixture.workerOf(task), std::nullopt);
-  fixture.restartUnnoticed(worker, 2);
+  fixture.restartUndetected(worker, 2);
   carryOutLateStarts();
   EXPECT_EQ(fixture.running(), 1u);
   ASSERT_NE(fixture.endOf(job), nullptr) << "it can't be placed in time";
@@ -84,7 +84,7 @@
 {
   const JobRequest job = fixture.request("a", 1);
   const WorkerId worker = startLate(job);
-  fixture.areStartsLate = false;
+  fixture.delaysStarts = false;
   fixture.settle();
   EXPECT_EQ(fixture.workerOf(task), worker);
   fixture.end(task, RunEnd::Done);
@@ -97,7 +97,7 @@
 {
   const JobRequest job = fixture.request("a", 1, 6800, 2000);
   const WorkerId worker = startLate(job);
-  fixture.areStartsLate = false;
+  fixture.delaysStarts = false;
   fixture.settle();
   ASSERT_EQ(fixture.workerOf(task), worker);
   fixture.restartWorker(worker, 2);
@@ -112,7 +112,7 @@
 {
   const JobRequest job = fixture.request("a", 1, 6800, 2000);
   const WorkerId worker = startLate(job);
-  fixture.areStartsLate = false;
+  fixture.delaysStarts = false;
   fixture.scheduler.cancel(job.key, fixture.now);
   fixture.pass(400);
   fixture.drain(worker);
@@ -152,7 +152,7 @@
 {
   const JobRequest late = fixture.request("a", 1, 12000, 2000);
   const WorkerId worker = startLate(late);
-  fixture.areStartsLate = false;
+  fixture.delaysStarts = false;
   fixture.scheduler.cancel(late.key, fixture.now);
   fixture.settle();
   drainOthers(worker);
--- a/tests/jobs/losslog_test.cpp
+++ b/tests/jobs/losslog_test.cpp
@@ -93,7 +93,7 @@
 {
   JobRequest job = fixture.request("a", 1);
   job.mayHaveRun = true;
-  job.quarantine = Quarantine{ fixture.workersAsListed(),
+  job.quarantine = Quarantine{ fixture.advertisedWorkers(),
                                {},
                                std::chrono::milliseconds(1200) };
   submit(job);
--- a/tests/jobs/peerplaces_test.cpp
+++ b/tests/jobs/peerplaces_test.cpp
@@ -8,37 +8,37 @@
 const ShardId first(ZoneName("z1"), 0);
 const ShardId second(ZoneName("z1"), 1);
 
-TEST(PeerPlaces, OffersTheShardWithMostPlaces)
+TEST(PeerSlots, OffersTheShardWithTheMostSlots)
 {
-  PeerPlaces places;
-  EXPECT_FALSE(places.best());
-  places.set(VmId("a"), first, 3);
-  places.set(VmId("b"), second, 5);
-  const auto best = places.best();
+  PeerSlots slots;
+  EXPECT_FALSE(slots.best());
+  slots.set(VmId("a"), first, 3);
+  slots.set(VmId("b"), second, 5);
+  const auto best = slots.best();
   ASSERT_TRUE(best);
   EXPECT_EQ(best->holder, VmId("b"));
   EXPECT_EQ(best->shard, second);
-  EXPECT_EQ(best->places, 5U);
+  EXPECT_EQ(best->slots, 5U);
 }
 
-TEST(PeerPlaces, TheLastPlaceIsLeftToTheHolder)
+TEST(PeerSlots, LeavesTheLastSlotToTheHolder)
 {
-  PeerPlaces places;
-  places.set(VmId("a"), first, 2);
-  EXPECT_TRUE(places.take(first));
-  EXPECT_FALSE(places.take(first));
-  EXPECT_FALSE(places.best());
-  EXPECT_FALSE(places.take(second)) << "nobody told of it";
+  PeerSlots slots;
+  slots.set(VmId("a"), first, 2);
+  EXPECT_TRUE(slots.take(first));
+  EXPECT_FALSE(slots.take(first));
+  EXPECT_FALSE(slots.best());
+  EXPECT_FALSE(slots.take(second)) << "no holder has advertised it";
 }
 
-TEST(PeerPlaces, AHolderThatIsGoneOffersNothing)
+TEST(PeerSlots, OffersNoSlotsOfAForgottenHolder)
 {
-  PeerPlaces places;
-  places.set(VmId("a"), first, 4);
-  places.set(VmId("b"), second, 2);
-  places.forget(VmId("a"));
-  ASSERT_TRUE(places.best());
-  EXPECT_EQ(places.best()->holder, VmId("b"));
+  PeerSlots slots;
+  slots.set(VmId("a"), first, 4);
+  slots.set(VmId("b"), second, 2);
+  slots.forget(VmId("a"));
+  ASSERT_TRUE(slots.best());
+  EXPECT_EQ(slots.best()->holder, VmId("b"));
 }
 
 } // namespace
--- a/tests/jobs/scheduler_test.cpp
+++ b/tests/jobs/scheduler_test.cpp
@@ -64,7 +64,7 @@
 
 /// The number of the run of a task that is at work; 0 if none is.
 std::uint64_t
-runAtWork(const SchedulerFixture& fixture, const std::string& task)
+runInProgress(const SchedulerFixture& fixture, const std::string& task)
 {
   for (const auto& [id, worker] : fixture.workers) {
     for (const RunKey& key : worker.runs()) {
@@ -80,16 +80,16 @@
   fixture.addWorker("w3");
   fixture.settle();
   submit(fixture.request("a", 1));
-  ASSERT_EQ(runAtWork(fixture, "a.0.0.0"), 1u);
+  ASSERT_EQ(runInProgress(fixture, "a.0.0.0"), 1u);
   fixture.pass(340);
   for (int tick = 0; tick < 4; ++tick) {
     fixture.now += std::chrono::milliseconds(10);
     fixture.scheduler.tick(fixture.now);
   }
   fixture.pass(60);
-  EXPECT_EQ(runAtWork(fixture, "a.0.0.0"), 2u);
+  EXPECT_EQ(runInProgress(fixture, "a.0.0.0"), 2u);
   fixture.pass(460);
-  EXPECT_EQ(runAtWork(fixture, "a.0.0.0"), 3u);
+  EXPECT_EQ(runInProgress(fixture, "a.0.0.0"), 3u);
 }
 
 TEST_F(SchedulerTest, TheEndOfARunThatWasFoundTellsNothingOfHowLongRunsTake)
@@ -107,7 +107,7 @@
   ASSERT_NE(fixture.endOf(left), nullptr);
   submit(fixture.request("next", 1, 6800, 600));
   fixture.pass(600);
-  EXPECT_EQ(runAtWork(fixture, "next.0.0.0"), 1u);
+  EXPECT_EQ(runInProgress(fixture, "next.0.0.0"), 1u);
 }
 
 TEST_F(SchedulerTest, AFailedTaskIsTriedOnAnotherWorkerAndThenFailsItsJob)
@@ -184,7 +184,7 @@
   JobRequest again = fixture.request("a", 2);
   again.previousPart = first.key.part();
   again.mayHaveRun = true;
-  again.quarantine = Quarantine{ fixture.workersAsListed(),
+  again.quarantine = Quarantine{ fixture.advertisedWorkers(),
                                  {},
                                  std::chrono::milliseconds(1200) };
   submit(again);
@@ -208,7 +208,7 @@
   JobRequest job = next.request("a", 2);
   job.mayHaveRun = true;
   job.quarantine =
-    Quarantine{ next.workersAsListed(), {}, std::chrono::milliseconds(1200) };
+    Quarantine{ next.advertisedWorkers(), {}, std::chrono::milliseconds(1200) };
   next.scheduler.submit(job, next.now);
   next.settle();
   next.pass(40);
@@ -233,7 +233,7 @@
   next.now += std::chrono::milliseconds(60);
   JobRequest job = next.request("a", 1);
   job.mayHaveRun = true;
-  job.quarantine = Quarantine{ next.workersAsListed(),
+  job.quarantine = Quarantine{ next.advertisedWorkers(),
                                std::chrono::milliseconds(5),
                                std::chrono::milliseconds(1200) };
   next.scheduler.submit(job, next.now);
@@ -254,7 +254,7 @@
   JobRequest job = next.request("a", 1);
   job.mayHaveRun = true;
   job.quarantine =
-    Quarantine{ next.workersAsListed(), {}, std::chrono::milliseconds(1200) };
+    Quarantine{ next.advertisedWorkers(), {}, std::chrono::milliseconds(1200) };
   next.scheduler.submit(job, next.now);
   next.scheduler.tick(next.now);
   EXPECT_EQ(next.running(), 0u);
@@ -274,7 +274,7 @@
   JobRequest job = fixture.request("a", 1);
   job.mayHaveRun = true;
   job.firstRun = 10;
-  job.quarantine = Quarantine{ fixture.workersAsListed(),
+  job.quarantine = Quarantine{ fixture.advertisedWorkers(),
                                std::chrono::milliseconds(1),
                                std::chrono::milliseconds(1200) };
   fixture.scheduler.submit(job, fixture.now);
@@ -293,7 +293,7 @@
   JobRequest job = next.request("a", 1);
   job.mayHaveRun = true;
   job.quarantine =
-    Quarantine{ next.workersAsListed(), {}, std::chrono::milliseconds(1200) };
+    Quarantine{ next.advertisedWorkers(), {}, std::chrono::milliseconds(1200) };
   job.quarantine->lastHolders->digest += 1;
   next.scheduler.submit(job, next.now);
   next.pass(1100);
@@ -336,7 +336,7 @@
   job.mayHaveRun = true;
   const TaskPlace place{ 0, WorkerId("w2") };
   job.quarantine = Quarantine{
-    next.workersAsListed(), {}, std::chrono::milliseconds(1200), { { place } }
+    next.advertisedWorkers(), {}, std::chrono::milliseconds(1200), { { place } }
   };
   next.scheduler.submit(job, next.now);
   next.scheduler.releaseShard(SchedulerFixture::shard(), next.now);
@@ -365,7 +365,7 @@
   JobRequest job = fixture.request("a", 3, 6800, 3000);
   job.mayHaveRun = true;
   job.quarantine =
-    Quarantine{ fixture.workersAsListed(),
+    Quarantine{ fixture.advertisedWorkers(),
                 {},
                 std::chrono::milliseconds(1200),
                 { { { 0, WorkerId("w1") }, { 1, WorkerId("unlisted") } } } };
--- a/tests/jobs/schedulerfixture.h
+++ b/tests/jobs/schedulerfixture.h
@@ -53,7 +53,7 @@
   }
 
   /// The worker starts again, and nobody has noticed yet.
-  void restartUnnoticed(const WorkerId& id, std::int64_t birth)
+  void restartUndetected(const WorkerId& id, std::int64_t birth)
   {
     workers[id] = FakeWorker(50000, WorkerBirth(birth));
   }
@@ -91,7 +91,7 @@
   }
 
   /// What a holder with the same list tells of the shard's workers.
-  ShardWorkers workersAsListed() const
+  ShardWorkers advertisedWorkers() const
   {
     return { shard(), scheduler.digest(shard()) };
   }
@@ -138,7 +138,7 @@
       m_timed.erase(m_timed.begin());
       action();
     }
-    for (const Parked& parked : std::exchange(m_parked, {})) {
+    for (const PendingReport& parked : std::exchange(m_parked, {})) {
       if (now >= parked.answerBy || workers[parked.worker].hasEnded())
         answer(parked);
       else
@@ -202,7 +202,7 @@
   /// Share of the orders that get no answer and are carried out late.
   double lostShare = 0;
   /// Whether starts get no answer and arrive when the test says so.
-  bool areStartsLate = false;
+  bool delaysStarts = false;
   std::vector<std::pair<WorkerId, StartOrder>> lateStarts;
   /// Whether no stop arrives or is answered.
   bool isStopLost = false;
@@ -210,13 +210,13 @@
   /// Reports that were asked for and that don't wait for an end.
   unsigned promptReports = 0;
   /// Of each daemon; just now if it isn't here.
-  std::map<VmId, TimePoint> contacts;
+  std::map<VmId, TimePoint> lastContacts;
   /// The same of when it was told of this daemon.
   std::map<VmId, TimePoint> toldUntil;
   Scheduler scheduler;
 
 private:
-  struct Parked
+  struct PendingReport
   {
     WorkerId worker;
     HoldOrder order;
@@ -252,7 +252,7 @@
     hooks.orders.start = [this](const WorkerRecord& record,
                                 const StartOrder& order,
                                 Duration timeout) {
-      if (areStartsLate) {
+      if (delaysStarts) {
         lateStarts.emplace_back(record.id(), order);
         orders.push_back([this, id = record.id(), key = order.key] {
           scheduler.startAnswered(id, key, OrderFailure::Unanswered, now);
@@ -302,8 +302,8 @@
     };
     hooks.fenced = [](const ShardId&) {};
     hooks.lastContact = [this](const VmId& vm) {
-      const auto found = contacts.find(vm);
-      return found == contacts.end() ? now : found->second;
+      const auto found = lastContacts.find(vm);
+      return found == lastContacts.end() ? now : found->second;
     };
     hooks.toldUntil = [this](const VmId& vm) {
       const auto found = toldUntil.find(vm);
@@ -314,13 +314,13 @@
 
   void flush()
   {
-    for (const Parked& parked : std::exchange(m_parked, {}))
+    for (const PendingReport& parked : std::exchange(m_parked, {}))
       answer(parked);
     for (const auto& order : std::exchange(orders, {}))
       order();
   }
 
-  void answer(const Parked& parked)
+  void answer(const PendingReport& parked)
   {
     orders.push_back([this, parked] {
       scheduler.holdAnswered(parked.worker,
@@ -344,7 +344,7 @@
     m_timed.emplace(now + std::chrono::seconds(3), std::move(carryOut));
   }
 
-  std::vector<Parked> m_parked;
+  std::vector<PendingReport> m_parked;
   std::multimap<TimePoint, std::function<void()>> m_timed;
   std::mt19937_64 m_random;
 };
--- a/tests/jobs/shardsizes_test.cpp
+++ b/tests/jobs/shardsizes_test.cpp
@@ -12,19 +12,19 @@
 
 TEST(CarriedWorkers, FollowTheLinkAndTheProcessorWhicheverBindsFirst)
 {
-  EXPECT_EQ(carriedWorkers({}), mostWorkersPerShard);
+  EXPECT_EQ(carriedWorkers({}), maxWorkersPerShard);
   EXPECT_EQ(carriedWorkers({ 0.12, 25 }), 40u);
   EXPECT_EQ(carriedWorkers({ 0.12, 2 }), 8u);
   EXPECT_EQ(carriedWorkers({ 0.12, 8 }), 30u);
   EXPECT_EQ(carriedWorkers({ 0.06, 25 }), 20u);
-  EXPECT_EQ(carriedWorkers({ 4, 10000 }), mostWorkersPerShard);
+  EXPECT_EQ(carriedWorkers({ 4, 10000 }), maxWorkersPerShard);
   EXPECT_EQ(carriedWorkers({ 0.001, 0.1 }), 1u);
 }
 
 TEST(ShardSizes, FallAtOnceAndRiseOnlyAfterAWhile)
 {
   ShardSizes sizes;
-  EXPECT_FALSE(sizes.update({ { zone, mostWorkersPerShard } }, start));
+  EXPECT_FALSE(sizes.update({ { zone, maxWorkersPerShard } }, start));
   EXPECT_TRUE(sizes.update({ { zone, 8 } }, start));
   EXPECT_EQ(sizes.bounds().at(zone), 8u);
   EXPECT_FALSE(sizes.update({ { zone, 40 } }, start + seconds(1)));
--- a/tests/jobs/submittercontact_test.cpp
+++ b/tests/jobs/submittercontact_test.cpp
@@ -31,7 +31,7 @@
   }
 
   /// No message of the submitter that was sent later is read from now on.
-  void loseContact() { fixture.contacts[gateway] = fixture.now; }
+  void loseContact() { fixture.lastContacts[gateway] = fixture.now; }
 
   SchedulerFixture fixture;
 };
@@ -42,7 +42,7 @@
   fixture.now += milliseconds(800);
   submit(job(1));
   EXPECT_EQ(fixture.running(), 0u);
-  fixture.contacts[gateway] = fixture.now;
+  fixture.lastContacts[gateway] = fixture.now;
   fixture.scheduler.contactRenewed(fixture.now);
   fixture.settle();
   EXPECT_EQ(fixture.running(), 1u);
@@ -86,7 +86,7 @@
   fixture.scheduler.daemonLost(gateway, false, fixture.now);
   fixture.pass(100);
   ASSERT_EQ(fixture.running(), 1u);
-  fixture.contacts.clear();
+  fixture.lastContacts.clear();
   fixture.pass(760);
   EXPECT_EQ(fixture.running(), 0u);
 }
@@ -98,7 +98,7 @@
   fixture.pass(1000);
   ASSERT_EQ(fixture.running(), 1u);
   fixture.scheduler.daemonLost(gateway, false, fixture.now);
-  fixture.contacts[gateway] = TimePoint{};
+  fixture.lastContacts[gateway] = TimePoint{};
   fixture.pass(20);
   JobRequest again = job(1);
   again.previousPart = request.key.part();
@@ -106,7 +106,7 @@
   submit(again);
   fixture.pass(60);
   EXPECT_EQ(fixture.endOf(again), nullptr);
-  fixture.contacts[gateway] = fixture.now;
+  fixture.lastContacts[gateway] = fixture.now;
   fixture.scheduler.contactRenewed(fixture.now);
   fixture.pass(60);
   EXPECT_EQ(fixture.running(), 1u);
@@ -159,7 +159,7 @@
   const auto clockError = std::chrono::duration_cast<Duration>(
     lease.leaseTime * (lease.slowestClock - 1));
   EXPECT_LE(settings.startContactLimit + lease.leaseTime, wantedRunLimit);
-  EXPECT_LT(settings.contactLimit, wantedRunLimit);
+  EXPECT_LT(settings.maxContactAge, wantedRunLimit);
   EXPECT_LT(wantedRunLimit + clockError, lostRunLimit);
   EXPECT_LT(wantedRunLimit + 2 * clockError, milliseconds(1300));
 }
