--- a/tests/jobs/exclusivejobs_test.cpp
+++ b/tests/jobs/exclusivejobs_test.cpp
@@ -7,8 +7,8 @@
 
 using std::chrono::milliseconds;
 
-/// Jobs that may come to another daemon again after `wantedRunLimit`, of a
-/// submitter that is in touch all the time.
+/// Jobs that another daemon may receive again after `wantedRunLimit`, from a
+/// submitter that is in contact all the time.
 class ExclusiveJobs : public ::testing::Test
 {
 protected:
@@ -49,9 +49,9 @@
   SchedulerFixture fixture;
 };
 
-/// Guards against a run that is started with the lease that its worker has, and
-/// outlasts the time at which its job may come again.
-TEST_F(ExclusiveJobs, NothingIsStartedLate)
+/// Guards against a run that is started with the lease of its worker and lasts
+/// beyond the time at which another daemon may receive its job again.
+TEST_F(ExclusiveJobs, NoTaskIsStartedCloseToTheLimit)
 {
   submit(kept("b", 2));
   submit(exclusive("a", 1));
@@ -61,9 +61,9 @@
   EXPECT_EQ(fixture.running(), 1u);
 }
 
-/// Guards against reports that are asked for again and again though none can
-/// shorten a worker's lease.
-TEST_F(ExclusiveJobs, NoReportsAreAskedForWhereTheLeaseIsTooLong)
+/// Guards against reports that are requested again and again although no report
+/// can shorten a worker's lease.
+TEST_F(ExclusiveJobs, NoReportsAreRequestedIfTheLeaseIsTooLong)
 {
   submit(kept("b", 2));
   submit(exclusive("a", 1));
@@ -75,8 +75,8 @@
   EXPECT_EQ(fixture.promptReports, before);
 }
 
-/// Guards against a limit that leaves jobs waiting that could still start.
-TEST_F(ExclusiveJobs, WhatMayStillEndInTimeIsStarted)
+/// Guards against a limit that keeps jobs waiting that could still start.
+TEST_F(ExclusiveJobs, ATaskThatCanEndBeforeTheLimitIsStarted)
 {
   submit(kept("b", 2));
   submit(exclusive("a", 1));
@@ -85,8 +85,9 @@
   EXPECT_TRUE(isRunning("a.0.0.0"));
 }
 
-/// Guards against a job that took long to arrive and is given its whole time.
-TEST_F(ExclusiveJobs, WhatArrivesLateIsNotStarted)
+/// Guards against a job that took long to arrive and is given the whole
+/// exclusive time.
+TEST_F(ExclusiveJobs, AJobThatArrivesLateIsNotStarted)
 {
   JobRequest request = exclusive("a", 1);
   request.exclusiveFor = lease - milliseconds(1);
@@ -97,8 +98,9 @@
   EXPECT_EQ(fixture.running(), 1u);
 }
 
-/// Guards against a job whose others have been told and that never goes on.
-TEST_F(ExclusiveJobs, AKeptJobIsStartedAndRunsOn)
+/// Guards against a job that never continues although the other daemons have
+/// been told of it.
+TEST_F(ExclusiveJobs, AJobWhoseLimitIsLiftedIsStartedAndRunsOn)
 {
   submit(kept("b", 2));
   const JobRequest request = exclusive("a", 2);
@@ -115,8 +117,8 @@
   EXPECT_EQ(fixture.endOf(request), nullptr);
 }
 
-/// Guards against a keep for a job that has ended meanwhile.
-TEST_F(ExclusiveJobs, AKeepForWhatIsNotThereChangesNothing)
+/// Guards against lifting the limit of a job that has ended meanwhile.
+TEST_F(ExclusiveJobs, LiftingTheLimitOfAnUnknownJobDoesNothing)
 {
   const JobRequest request = exclusive("a", 1);
   fixture.scheduler.keep(request.key, fixture.now);
@@ -125,9 +127,9 @@
   EXPECT_NE(fixture.endOf(request), nullptr);
 }
 
-/// Guards against a run that goes on by its lease where the stop is lost: the
-/// job may be under way at another daemon by then.
-TEST_F(ExclusiveJobs, LeasesEndInTimeThoughNoStopArrives)
+/// Guards against a run that continues under its lease when the stop is lost:
+/// the job may be in progress at another daemon by then.
+TEST_F(ExclusiveJobs, LeasesExpireInTimeEvenIfNoStopArrives)
 {
   submit(exclusive("a", 2));
   fixture.pass(1000);
@@ -139,9 +141,9 @@
   EXPECT_EQ(fixture.running(), 0u);
 }
 
-/// Guards against other runs of a worker that end with the lease that an
-/// exclusive job bounds.
-TEST_F(ExclusiveJobs, OtherRunsOnItsWorkerGoOnWhenAJobEnds)
+/// Guards against other runs of a worker that end because an exclusive job
+/// limits the worker's lease.
+TEST_F(ExclusiveJobs, OtherRunsOnTheWorkerContinueWhenAJobEnds)
 {
   const JobRequest other = kept("b", 1);
   const JobRequest request = exclusive("a", 1);
@@ -159,9 +161,9 @@
   EXPECT_EQ(fixture.endOf(other), nullptr);
 }
 
-/// Guards against a job that is kept while it has no holder and is ended by the
-/// one that still has it.
-TEST_F(ExclusiveJobs, AJobHandedOverAgainAsKeptRunsOn)
+/// Guards against a job whose limit is lifted while it has no holder, and that
+/// is ended by the daemon that still has it.
+TEST_F(ExclusiveJobs, AJobHandedOverAgainWithoutALimitRunsOn)
 {
   const JobRequest request = exclusive("a", 1);
   submit(request);
@@ -176,7 +178,7 @@
   EXPECT_EQ(fixture.running(), 1u);
 }
 
-/// Guards against a job that is given time anew with each time that it is
+/// Guards against a job that gets its exclusive time anew each time that it is
 /// handed over.
 TEST_F(ExclusiveJobs, AJobHandedOverAgainGetsNoMoreTime)
 {
--- a/tests/jobs/jobqueue_test.cpp
+++ b/tests/jobs/jobqueue_test.cpp
@@ -35,12 +35,12 @@
   JobQueue queue;
 };
 
-TEST_F(JobQueueTest, ServesTheSoonestFirstAndOfEqualOnesTheLongestWaiting)
+TEST_F(JobQueueTest, ServesTheEarliestStartFirstThenTheLongestWaiting)
 {
   EXPECT_EQ(queue.jobs(), (std::vector<Job*>{ &soon, &alsoSoon, &late }));
 }
 
-TEST_F(JobQueueTest, TakesAJobOnceAndOnlyIfATaskWaits)
+TEST_F(JobQueueTest, AddsAJobOnceAndOnlyIfATaskWaits)
 {
   queue.add(late);
   Job started = jobThatMustStart(std::chrono::milliseconds(1), 0);
@@ -48,7 +48,7 @@
   EXPECT_EQ(queue.jobs().size(), 3U);
 }
 
-TEST_F(JobQueueTest, ARemovedJobGoesToTheEndOfItsEquals)
+TEST_F(JobQueueTest, AJobAddedAgainComesAfterItsEquals)
 {
   queue.remove(soon);
   queue.remove(soon);
--- a/tests/jobs/latestart_test.cpp
+++ b/tests/jobs/latestart_test.cpp
@@ -12,7 +12,7 @@
 const WorkerId w2("w2");
 const std::string task = "a.0.0.0";
 
-/// Two workers that keep their ids when they start again.
+/// Two workers that keep their ids when they restart.
 class LateStart : public ::testing::Test
 {
 protected:
@@ -25,7 +25,8 @@
     fixture.take();
   }
 
-  /// The task's start is late; the worker that will get it.
+  /// Submits a job whose start is delayed. Returns the worker that will receive
+  /// the start.
   WorkerId startLate(const JobRequest& job)
   {
     fixture.delaysStarts = true;
@@ -40,8 +41,9 @@
     fixture.drain(worker == w1 ? w2 : w1);
   }
 
-  /// Submits a job whose start is sent after a prompt report, and lets the
-  /// worker restart in between. Reports that wait for an end stay unanswered.
+  /// Submits a job whose start is sent after a prompt report, and restarts the
+  /// worker in between. Reports that are held back until a run ends stay
+  /// unanswered.
   void startAcrossRestart(const JobRequest& job, const WorkerId& worker)
   {
     fixture.scheduler.submit(job, fixture.now);
@@ -62,8 +64,8 @@
 };
 
 /// Guards against a second run of a task whose late start is carried out by the
-/// next life of its worker.
-TEST_F(LateStart, OfATaskKeepsItFromAllOtherWorkers)
+/// next incarnation of its worker.
+TEST_F(LateStart, BindsTheTaskToItsWorker)
 {
   const JobRequest job = fixture.request("a", 1, 6800, 2000);
   const WorkerId worker = startLate(job);
@@ -80,7 +82,7 @@
   EXPECT_LE(fixture.endOf(job)->retryAfter, seconds(12));
 }
 
-TEST_F(LateStart, IsSentAgainToItsWorkerAtOnce)
+TEST_F(LateStart, IsResentToItsWorkerAtOnce)
 {
   const JobRequest job = fixture.request("a", 1);
   const WorkerId worker = startLate(job);
@@ -92,8 +94,9 @@
   EXPECT_EQ(fixture.endOf(job)->outcome, JobOutcome::Completed);
 }
 
-/// Guards against the same where the run is lost with the life that it was in.
-TEST_F(LateStart, OfATaskKeepsItFromOtherWorkersAlsoInTheNextLife)
+/// Guards against a second run of the task after its run was lost in a restart
+/// of the worker: the late start may still be carried out there.
+TEST_F(LateStart, BindsTheTaskAfterARestartOfItsWorker)
 {
   const JobRequest job = fixture.request("a", 1, 6800, 2000);
   const WorkerId worker = startLate(job);
@@ -107,8 +110,9 @@
   EXPECT_EQ(fixture.running(), 1u);
 }
 
-/// Guards against the same where a caller submits the job again.
-TEST_F(LateStart, OfACancelledJobKeepsItsTaskFromOtherWorkers)
+/// Guards against a second run of the task when a caller submits the cancelled
+/// job again.
+TEST_F(LateStart, BindsTheTaskOfACancelledJob)
 {
   const JobRequest job = fixture.request("a", 1, 6800, 2000);
   const WorkerId worker = startLate(job);
@@ -124,7 +128,7 @@
   EXPECT_EQ(fixture.endOf(again)->outcome, JobOutcome::Unresolved);
 }
 
-TEST_F(LateStart, ThatAnotherHolderTellsOfKeepsTheTaskFromHere)
+TEST_F(LateStart, AnnouncedByAnotherHolderKeepsTheTaskFromStartingHere)
 {
   fixture.scheduler.addUnresolved(
     { RunKey(task, 1), WorkerId("far"), fixture.now + seconds(9) });
@@ -136,7 +140,7 @@
   EXPECT_EQ(fixture.endOf(job)->outcome, JobOutcome::Unresolved);
 }
 
-TEST_F(LateStart, IsToldToOtherHoldersAlsoWhenItsShardIsReleased)
+TEST_F(LateStart, IsAnnouncedWhenItsShardIsReleased)
 {
   const WorkerId worker = startLate(fixture.request("a", 1, 6800, 2000));
   fixture.scheduler.releaseShard(SchedulerFixture::shard(), fixture.now);
@@ -146,9 +150,10 @@
   EXPECT_EQ(fixture.unresolved[0].until, fixture.now + seconds(12));
 }
 
-/// Guards against exceeding the capacity of a life that begins between a prompt
-/// report and the start that it allowed, and then carries out a late start.
-TEST_F(LateStart, IsFencedARoundTripAfterAStartToARestartedWorker)
+/// Guards against exceeding the capacity of an incarnation that begins between
+/// a prompt report and the start that the report allowed, and that then carries
+/// out a late start.
+TEST_F(LateStart, IsFencedOneRoundTripAfterAStartOnARestartedWorker)
 {
   const JobRequest late = fixture.request("a", 1, 12000, 2000);
   const WorkerId worker = startLate(late);
--- a/tests/jobs/loadreplay.cpp
+++ b/tests/jobs/loadreplay.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr Duration step = std::chrono::milliseconds(2);
-/// Longer than any job of these loads is let wait.
+/// Time for the last jobs to end; longer than any job of these loads may wait.
 constexpr Duration afterwards = std::chrono::seconds(5);
 
 } // namespace
@@ -60,7 +60,8 @@
   m_fixture.scheduler.submit(request, m_fixture.now);
 }
 
-/// Ends the runs whose time is over, and notes when those begun since end.
+/// Ends the runs whose time is over, and records when runs seen for the first
+/// time will end.
 void
 LoadReplay::endRuns()
 {
--- a/tests/jobs/loadreplay.h
+++ b/tests/jobs/loadreplay.h
@@ -8,18 +8,19 @@
 
 namespace cowslippin::testing {
 
-/// A kind of job that a replayed load consists of.
+/// One kind of job in a replayed load.
 struct LoadKind
 {
   std::string queue;
   double jobsPerSecond = 0;
   unsigned tasks = 1;
   int taskMs = 0;
-  /// Of a task, in thousandths of a core; spread evenly by a fifth.
+  /// CPU of a task in thousandths of a core; varies evenly by a fifth in both
+  /// directions.
   std::int64_t cpu = 14000;
 };
 
-/// What has become of the jobs of one kind.
+/// Number of jobs of one kind, by how they ended.
 struct LoadFigures
 {
   unsigned submitted = 0;
@@ -33,9 +34,9 @@
   }
 };
 
-/// Plays a load on a scheduler with its own workers on a virtual clock: jobs
-/// arrive at random times, tasks take their time, and answers are compared with
-/// the ideal. The same seed gives the same run.
+/// Replays a load against a scheduler with its own workers on a virtual clock:
+/// jobs arrive at random times, tasks take their run time, and answers are
+/// compared with the response time objective. The same seed gives the same run.
 class LoadReplay
 {
 public:
--- a/tests/jobs/loadreplay_test.cpp
+++ b/tests/jobs/loadreplay_test.cpp
@@ -7,7 +7,7 @@
 
 using std::chrono::seconds;
 
-/// Twelve workers with two places each.
+/// Twelve workers with two slots each.
 class LoadReplayTest : public ::testing::Test
 {
 protected:
@@ -38,17 +38,18 @@
            { "long", 1.7 * factor, 4, 900 } };
 }
 
-TEST_F(LoadReplayTest, WhatTheWorkersCanDoIsDoneInTime)
+TEST_F(LoadReplayTest, LoadWithinTheCapacityIsDoneInTime)
 {
   const LoadFigures figures = played(fixture, mixedLoad(0.6), seconds(10));
   EXPECT_GT(figures.inTimeShare(), 0.97);
   EXPECT_EQ(figures.refused, 0u);
 }
 
-/// Twice what the workers can do, for three seconds. Of all jobs 34% were done
-/// in time and 30% late while only the queue in front of a job counted against
-/// it; 60% and 4% since what goes before it while it waits counts as well.
-TEST_F(LoadReplayTest, ABurstDoesNotMakeAllLateTogether)
+/// Twice the capacity of the workers for three seconds. When only the queue in
+/// front of a job counted against it, 34% of all jobs were done in time and 30%
+/// late. It is 60% and 4% since later jobs that are served before it count as
+/// well.
+TEST_F(LoadReplayTest, ABurstDoesNotMakeAllJobsLate)
 {
   const LoadFigures figures = played(fixture, mixedLoad(2), seconds(3));
   EXPECT_GT(figures.inTimeShare(), 0.5);
@@ -56,8 +57,9 @@
 }
 
 /// One order in twenty gets no answer and is carried out three seconds later.
-/// Of all jobs 70% were done in time while a lost order was waited for 90 ms
-/// and the next report up to 200 ms; 98% since then.
+/// 70% of all jobs were done in time when the answer to a lost order was
+/// awaited for 90 ms and the next report for up to 200 ms; 98% since these
+/// waits were shortened.
 TEST_F(LoadReplayTest, LostOrdersCostLittleTime)
 {
   fixture.lostShare = 0.05;
--- a/tests/jobs/losslog_test.cpp
+++ b/tests/jobs/losslog_test.cpp
@@ -23,7 +23,7 @@
     fixture.settle();
   }
 
-  /// Nothing that is sent to the workers is answered meanwhile.
+  /// Lets time pass while no order to a worker is answered.
   void passUnanswered(int milliseconds)
   {
     fixture.lostShare = 1;
@@ -38,8 +38,9 @@
   SchedulerFixture fixture;
 };
 
-/// Guards against second starts that can't be told from the many first ones.
-TEST_F(LossLogTest, ASecondStartIsAnEventOfItsOwn)
+/// Guards against restarts that can't be told from the many first starts in the
+/// log.
+TEST_F(LossLogTest, ARestartHasItsOwnEvent)
 {
   submit(fixture.request("a", 1));
   const auto first = fixture.workerOf("a.0.0.0");
@@ -56,7 +57,7 @@
   EXPECT_EQ(fixture.scheduler.restarts().at(RestartCause::Failed), 1u);
 }
 
-TEST_F(LossLogTest, AnAbandonedJobTellsItsWaitAndWhatItStops)
+TEST_F(LossLogTest, AnAbandonedJobLogsItsWaitAndItsStoppedRuns)
 {
   submit(fixture.request("a", 2));
   fixture.scheduler.daemonLost(VmId("gateway"), false, fixture.now);
@@ -69,7 +70,7 @@
   EXPECT_EQ(lines[0]["waitedMs"], 200);
 }
 
-TEST_F(LossLogTest, ATaskThatTimeAloneLetsStartSaysSo)
+TEST_F(LossLogTest, LogsThatAQuarantineHasExpired)
 {
   JobRequest job = fixture.request("a", 1);
   job.mayHaveRun = true;
@@ -89,7 +90,7 @@
   EXPECT_EQ(starts[0]["cause"], "time-passed");
 }
 
-TEST_F(LossLogTest, ATaskThatAClaimedShardLetsStartSaysSo)
+TEST_F(LossLogTest, LogsThatAllWorkersOfTheShardHaveReported)
 {
   JobRequest job = fixture.request("a", 1);
   job.mayHaveRun = true;
@@ -103,8 +104,8 @@
   EXPECT_EQ(ends[0]["cause"], "shard-claimed");
 }
 
-/// Guards against a task that is over without a line on it.
-TEST_F(LossLogTest, ATaskThatIsFoundDoneIsTold)
+/// Guards against a task that is done without a log event.
+TEST_F(LossLogTest, LogsATaskThatIsFoundDone)
 {
   JobRequest job = fixture.request("a", 1);
   submit(job);
@@ -121,7 +122,7 @@
   EXPECT_EQ(log.of("task-found-done").size(), 1u);
 }
 
-TEST_F(LossLogTest, AnUnansweredStopNamesItsTaskAndTimes)
+TEST_F(LossLogTest, AnUnansweredStopLogsItsTaskAndTimes)
 {
   const JobRequest job = fixture.request("a", 1);
   submit(job);
@@ -136,7 +137,7 @@
   EXPECT_GT(lines[1]["sinceFirstMs"], lines[1]["sinceLastMs"]);
 }
 
-TEST_F(LossLogTest, ALapsedLeaseNamesItsTasks)
+TEST_F(LossLogTest, AnExpiredLeaseLogsItsTasks)
 {
   submit(fixture.request("a", 1));
   passUnanswered(2000);
--- a/tests/jobs/scheduler_test.cpp
+++ b/tests/jobs/scheduler_test.cpp
@@ -37,16 +37,17 @@
   EXPECT_EQ(fixture.endOf(job)->outcome, JobOutcome::Completed);
 }
 
-TEST_F(SchedulerTest, TasksWaitForRoomAndNoWorkerIsOverfilled)
+TEST_F(SchedulerTest, TasksWaitForRoomAndNoWorkerExceedsItsCapacity)
 {
   submit(fixture.request("a", 6));
-  EXPECT_EQ(fixture.running(), 4u) << "two of 6.8 cores on each of 16";
+  EXPECT_EQ(fixture.running(), 4u)
+    << "two tasks of 6.8 cores on each worker of 16";
   fixture.end("a.0.0.0", RunEnd::Done);
   EXPECT_EQ(fixture.running(), 4u);
   EXPECT_EQ(fixture.scheduler.waitingTasks(), 1u);
 }
 
-TEST_F(SchedulerTest, AReportToAnEarlierLeaseOfAWorkerFillsNoWorkerTwice)
+TEST_F(SchedulerTest, AReportToAnEarlierLeaseDoesNotFillAWorkerTwice)
 {
   const SentHold earlier{ 10, fixture.now };
   const HoldAnswer beforeTheStarts = fixture.workers[WorkerId("w1")].hold(
@@ -62,7 +63,7 @@
   EXPECT_EQ(fixture.running(), 4u);
 }
 
-/// The number of the run of a task that is at work; 0 if none is.
+/// Returns the number of the task's run in progress; 0 if there is none.
 std::uint64_t
 runInProgress(const SchedulerFixture& fixture, const std::string& task)
 {
@@ -75,7 +76,7 @@
   return 0;
 }
 
-TEST_F(SchedulerTest, ARunThatStandsStillIsStartedAnewAlsoIfItsStopTakesLong)
+TEST_F(SchedulerTest, AStalledRunIsRestartedEvenIfItsStopTakesLong)
 {
   fixture.addWorker("w3");
   fixture.settle();
@@ -92,7 +93,7 @@
   EXPECT_EQ(runInProgress(fixture, "a.0.0.0"), 3u);
 }
 
-TEST_F(SchedulerTest, TheEndOfARunThatWasFoundTellsNothingOfHowLongRunsTake)
+TEST_F(SchedulerTest, TheEndOfAnAdoptedRunIsNoSampleOfRunTimes)
 {
   JobRequest left = fixture.request("left", 1, 6800, 600);
   submit(left);
@@ -125,7 +126,7 @@
   EXPECT_EQ(fixture.endOf(job)->outcome, JobOutcome::Failed);
 }
 
-TEST_F(SchedulerTest, WhatCanNeverRunIsRefusedAtOnce)
+TEST_F(SchedulerTest, AJobThatCanNeverRunIsRefusedAtOnce)
 {
   const JobRequest job = fixture.request("a", 1, 17000);
   submit(job);
@@ -176,7 +177,7 @@
   EXPECT_EQ(fixture.running(), 0u);
 }
 
-TEST_F(SchedulerTest, ASubmitterThatIsBackGoesOnUnderItsNewKey)
+TEST_F(SchedulerTest, AReconnectedSubmitterContinuesUnderItsNewKey)
 {
   const JobRequest first = fixture.request("a", 2);
   submit(first);
@@ -213,16 +214,16 @@
   next.settle();
   next.pass(40);
   EXPECT_EQ(next.workers[WorkerId("w1")].starts("a.0.0.0"), 1u);
-  EXPECT_EQ(next.running(), 2u) << "the other task was not found and starts";
+  EXPECT_EQ(next.running(), 2u) << "the other task has no run and is started";
   next.end("a.0.0.0", RunEnd::Done);
   next.end("a.0.0.1", RunEnd::Done);
   ASSERT_NE(next.endOf(job), nullptr);
   EXPECT_EQ(next.endOf(job)->outcome, JobOutcome::Completed);
 }
 
-/// A holder that had claimed the worker before the loss adopts the run though
-/// the report that is under way waits for an end.
-TEST_F(SchedulerTest, ARunThatWasFoundBeforeTheLossIsAskedForAndAdopted)
+/// A holder that had claimed the worker before the loss adopts the run,
+/// although the report that it has requested is held back until a run ends.
+TEST_F(SchedulerTest, ARunReportedBeforeTheLossIsRequestedAgainAndAdopted)
 {
   SchedulerFixture next;
   next.addWorker("w1");
@@ -246,7 +247,7 @@
   EXPECT_EQ(next.workers[WorkerId("w1")].starts("a.0.0.0"), 1u);
 }
 
-TEST_F(SchedulerTest, ATaskThatMayRunWaitsUntilAllWorkersAnswered)
+TEST_F(SchedulerTest, ATaskThatMayRunWaitsUntilAllWorkersHaveReported)
 {
   SchedulerFixture next;
   next.addWorker("w1");
@@ -263,11 +264,11 @@
   EXPECT_EQ(next.running(), 1u);
 }
 
-TEST_F(SchedulerTest, ATaskThatMayRunWaitsForReportsThatAreNewerThanItsLoss)
+TEST_F(SchedulerTest, ATaskThatMayRunWaitsForReportsRequestedAfterTheLoss)
 {
   fixture.pass(100);
-  // A daemon that was out of reach has taken a worker meanwhile, without this
-  // one's knowledge, and has used it.
+  // An unreachable daemon has claimed and used a worker meanwhile, without this
+  // daemon's knowledge.
   const std::int64_t leaseEnd = 1000 * 1000 + 50000 + 100 + 700;
   fixture.workers[WorkerId("w1")].start(
     { 15, RunKey("a.0.0.0", 2), "", leaseEnd }, fixture.now);
@@ -285,7 +286,8 @@
   EXPECT_EQ(fixture.workers[WorkerId("w2")].starts("a.0.0.0"), 0u);
 }
 
-TEST_F(SchedulerTest, ATaskThatMayRunOnAWorkerThatIsNotListedHereWaitsToTheEnd)
+TEST_F(SchedulerTest,
+       ATaskThatMayRunOnAnUnlistedWorkerWaitsForTheWholeQuarantine)
 {
   SchedulerFixture next;
   next.addWorker("w1");
@@ -298,12 +300,13 @@
   next.scheduler.submit(job, next.now);
   next.pass(1100);
   EXPECT_EQ(next.workers[WorkerId("w1")].starts("a.0.0.0"), 0u)
-    << "its last holder had other workers";
+    << "the previous holder had other workers";
   next.pass(200);
   EXPECT_EQ(next.running(), 1u);
 }
 
-TEST_F(SchedulerTest, ATaskWaitsToTheEndIfTheLastHoldersWorkersAreNotKnown)
+TEST_F(SchedulerTest,
+       ATaskWaitsForTheWholeQuarantineIfTheLostHoldersWorkersAreUnknown)
 {
   JobRequest job = fixture.request("a", 1);
   job.mayHaveRun = true;
@@ -318,7 +321,7 @@
   EXPECT_EQ(fixture.running(), 1u);
 }
 
-TEST_F(SchedulerTest, ARunThatWasFoundBeforeTheLossIsNotTakenForTheLatest)
+TEST_F(SchedulerTest, ARunReportedBeforeTheLossIsNotTakenForTheLatest)
 {
   SchedulerFixture next;
   next.addWorker("w1");
@@ -328,7 +331,8 @@
   FakeWorker& latest = next.workers[WorkerId("w2")];
   old.start({ 5, RunKey("a.0.0.0", 3), "", leaseEnd }, next.now);
   next.take();
-  // Another holder ends that run and begins one elsewhere before it is lost.
+  // Another holder ends that run and starts one on another worker before it is
+  // lost.
   old.stop({ 50, RunKey("a.0.0.0", 3) }, next.now);
   latest.start({ 50, RunKey("a.0.0.0", 4), "", leaseEnd }, next.now);
   next.now += std::chrono::milliseconds(20);
@@ -344,7 +348,7 @@
   EXPECT_EQ(next.endOf(job)->underWay, std::vector<TaskPlace>{ place });
 }
 
-TEST_F(SchedulerTest, TheWorkersOfAHeldShardAreThoseOnWhichItMayHaveRuns)
+TEST_F(SchedulerTest, TheDigestOfAHeldShardCoversAllWorkersThatMayHaveRuns)
 {
   const ShardDigest whole = fixture.scheduler.digest(SchedulerFixture::shard());
   submit(fixture.request("a", 1));
@@ -354,13 +358,13 @@
   }
   fixture.scheduler.setList(fixture.list, fixture.now);
   EXPECT_EQ(fixture.scheduler.digest(SchedulerFixture::shard()), whole)
-    << "one that isn't listed any more has a run";
+    << "a worker that is no longer listed has a run";
   fixture.end("a.0.0.0", RunEnd::Done);
   fixture.pass(20);
   EXPECT_NE(fixture.scheduler.digest(SchedulerFixture::shard()), whole);
 }
 
-TEST_F(SchedulerTest, ATaskWaitsForTheWorkerThatMayRunItAndNoOther)
+TEST_F(SchedulerTest, ATaskWaitsOnlyForTheWorkerThatMayRunIt)
 {
   JobRequest job = fixture.request("a", 3, 6800, 3000);
   job.mayHaveRun = true;
@@ -371,9 +375,10 @@
                 { { { 0, WorkerId("w1") }, { 1, WorkerId("unlisted") } } } };
   fixture.scheduler.submit(job, fixture.now);
   fixture.settle();
-  EXPECT_EQ(fixture.running(), 1u) << "the task that nobody had started";
+  EXPECT_EQ(fixture.running(), 1u) << "the task that had not been started";
   fixture.pass(40);
-  EXPECT_EQ(fixture.running(), 2u) << "its worker has told that it is over";
+  EXPECT_EQ(fixture.running(), 2u)
+    << "its worker has reported that the run is over";
   for (int step = 0; step < 55; ++step) {
     fixture.pass(20);
     EXPECT_EQ(fixture.running(), 2u);
@@ -382,7 +387,7 @@
   EXPECT_EQ(fixture.running(), 3u);
 }
 
-TEST_F(SchedulerTest, AReleasedShardsJobsMoveWithTheirRunsLeftAlone)
+TEST_F(SchedulerTest, JobsOfAReleasedShardMoveWithoutStoppingTheirRuns)
 {
   const JobRequest job = fixture.request("a", 2);
   submit(job);
@@ -400,7 +405,7 @@
   EXPECT_GT(fixture.endOf(job)->nextRun, 1u);
 }
 
-TEST_F(SchedulerTest, SaysSoWhenItDoesNotHoldTheShard)
+TEST_F(SchedulerTest, RejectsAJobForAShardThatItDoesNotHold)
 {
   JobRequest job = fixture.request("a", 1);
   job.shard = ShardId(ZoneName("z2"), 0);
@@ -436,7 +441,7 @@
   EXPECT_EQ(fixture.endOf(job)->done, (std::vector<TaskIndex>{ 0, 1, 2, 3 }));
 }
 
-TEST_F(SchedulerTest, InAnEvacuatedZoneRunsEndAndNothingStarts)
+TEST_F(SchedulerTest, InAnEvacuatedZoneRunsCompleteAndNothingStarts)
 {
   const JobRequest job = fixture.request("a", 6);
   const JobRequest waiting = fixture.request("b", 2, 6800, 2000);
@@ -451,7 +456,7 @@
   EXPECT_TRUE(fixture.returns[0].holder.isEmpty());
   ASSERT_NE(fixture.endOf(waiting), nullptr);
   EXPECT_EQ(fixture.endOf(waiting)->outcome, JobOutcome::Refused)
-    << "nothing of it was started";
+    << "no task of it was started";
   EXPECT_EQ(
     fixture.scheduler.sparePlaces(SchedulerFixture::shard(), fixture.now), 0u);
   fixture.end("a.0.0.0", RunEnd::Failed);
@@ -463,7 +468,7 @@
   EXPECT_EQ(fixture.endOf(job)->outcome, JobOutcome::Completed);
 }
 
-TEST_F(SchedulerTest, AnEvacuatedZoneRefusesNewcomersAndServesWhenTakenBack)
+TEST_F(SchedulerTest, AnEvacuatedZoneRefusesNewJobsUntilTheEvacuationEnds)
 {
   fixture.scheduler.setEvacuated({ ZoneName("z1") }, fixture.now);
   const JobRequest job = fixture.request("a", 2);
@@ -481,7 +486,7 @@
   EXPECT_EQ(fixture.running(), 2u);
 }
 
-TEST_F(SchedulerTest, WorkersOfAnEvacuatedZoneAreNoReasonToWait)
+TEST_F(SchedulerTest, TasksAreNotReturnedForSlotsInAnEvacuatedZone)
 {
   fixture.scheduler.setPeerPlaces(
     VmId("other"), ShardId(ZoneName("z2"), 0), 50);
@@ -491,8 +496,8 @@
   EXPECT_EQ(fixture.scheduler.waitingTasks(), 2u);
 }
 
-/// Each worker that starts the task is back under its id with nothing.
-TEST_F(SchedulerTest, ATaskThatEndsItsWorkersRunsAloneAndIsThenGivenUp)
+/// Each worker that starts the task restarts under its id and loses its runs.
+TEST_F(SchedulerTest, ATaskThatCrashesItsWorkersRunsAloneAndThenFails)
 {
   std::int64_t birth = 100;
   for (const char* id : { "w1", "w2" })
@@ -517,9 +522,9 @@
   EXPECT_EQ(fixture.endOf(bad)->outcome, JobOutcome::Failed);
 }
 
-/// Workers that are cut off by turns end a task's runs as often as that; a job
-/// that could be done must not be shown as failed.
-TEST_F(SchedulerTest, RunsThatLapseOnSilentWorkersAreNoCrashes)
+/// Workers that are unreachable in turn end a task's runs as often as that. A
+/// job that could still be done must not be reported as failed.
+TEST_F(SchedulerTest, RunsWithAnExpiredLeaseOnSilentWorkersAreNoCrashes)
 {
   JobRequest job = fixture.request("a", 1, 4000, 5000);
   job.timeLeft = std::chrono::seconds(60);
@@ -535,7 +540,7 @@
   EXPECT_EQ(fixture.endOf(job), nullptr);
 }
 
-TEST_F(SchedulerTest, CrashesOfBeforeCountWhereATaskGoesOn)
+TEST_F(SchedulerTest, CrashesUnderAnEarlierHolderCount)
 {
   JobRequest job = fixture.request("a", 1);
   job.crashes = { { 0, 2 } };
@@ -556,22 +561,23 @@
 }
 
 TEST_F(SchedulerTest,
-       AWorkerThatShrinksIsNotOverfilledAndNothingIsCalledImpossible)
+       AWorkerWithReducedCapacityIsNotOverfilledAndNoJobIsRefused)
 {
   fixture.addWorker("w1", 4000);
   fixture.addWorker("w2", 4000);
   const JobRequest job = fixture.request("a", 1, 6800);
   submit(job);
   EXPECT_EQ(fixture.running(), 0u);
-  EXPECT_EQ(fixture.endOf(job), nullptr) << "it waits for the worker to grow";
+  EXPECT_EQ(fixture.endOf(job), nullptr)
+    << "it waits until a worker has more capacity";
   submit(fixture.request("small", 2, 3000));
-  EXPECT_EQ(fixture.running(), 2u) << "one on each";
+  EXPECT_EQ(fixture.running(), 2u) << "one task on each worker";
   fixture.addWorker("w1", 16000);
   fixture.pass(20);
   EXPECT_EQ(fixture.running(), 3u);
 }
 
-TEST_F(SchedulerTest, ATaskThatStandsStillIsStartedElsewhere)
+TEST_F(SchedulerTest, AStalledTaskIsRestartedElsewhere)
 {
   submit(fixture.request("a", 1, 6800, 100));
   ASSERT_EQ(fixture.running(), 1u);
@@ -583,7 +589,7 @@
   EXPECT_EQ(fixture.running(), 1u);
 }
 
-TEST_F(SchedulerTest, StartsNothingWhileSuspendedAndEndsJobsOfOthers)
+TEST_F(SchedulerTest, StartsNothingWhileSuspendedAndCancelsJobsOfOthers)
 {
   const JobRequest foreign = fixture.request("a", 2);
   submit(foreign);
@@ -599,7 +605,7 @@
   EXPECT_EQ(fixture.running(), 1u);
 }
 
-TEST_F(SchedulerTest, AJobWhoseTimeIsOverIsStoppedAndSaysSo)
+TEST_F(SchedulerTest, AJobPastItsDeadlineIsStoppedAndEndsAsTimedOut)
 {
   JobRequest job = fixture.request("a", 1, 6800, 1000);
   job.timeLeft = std::chrono::milliseconds(200);
@@ -610,7 +616,7 @@
   EXPECT_EQ(fixture.running(), 0u);
 }
 
-TEST(ShardMap, DividesByPowersOfTwoAndChangesOnlyForGood)
+TEST(ShardMap, DividesByPowersOfTwoAndIgnoresSmallChanges)
 {
   const auto workers = [](unsigned count) {
     WorkerList list;
@@ -625,10 +631,10 @@
   ShardMap map;
   EXPECT_FALSE(map.update(workers(40)));
   EXPECT_EQ(map.shards().size(), 1u);
-  EXPECT_FALSE(map.update(workers(47))) << "not far enough";
+  EXPECT_FALSE(map.update(workers(47))) << "too small a change";
   EXPECT_TRUE(map.update(workers(60)));
   EXPECT_EQ(map.shards().size(), 2u);
-  EXPECT_FALSE(map.update(workers(36))) << "not far enough";
+  EXPECT_FALSE(map.update(workers(36))) << "too small a change";
   EXPECT_TRUE(map.update(workers(30)));
   EXPECT_EQ(map.shards().size(), 1u);
   ShardMap large;
--- a/tests/jobs/schedulerfixture.h
+++ b/tests/jobs/schedulerfixture.h
@@ -12,8 +12,8 @@
 
 namespace cowslippin::testing {
 
-/// A scheduler with workers in memory, on a virtual clock. Orders wait until
-/// `settle` delivers them.
+/// A scheduler with in-memory workers on a virtual clock. Orders are queued
+/// until `settle` delivers them.
 class SchedulerFixture
 {
 public:
@@ -36,8 +36,8 @@
     scheduler.setList(list, now);
   }
 
-  /// The worker loses all that runs there and is back under its id. Births
-  /// rise.
+  /// Restarts the worker: it loses its runs and is listed again under its id.
+  /// `birth` must rise with each restart.
   void restartWorker(const WorkerId& id, std::int64_t birth)
   {
     WorkerRecord::Fields fields;
@@ -52,13 +52,13 @@
     settle();
   }
 
-  /// The worker starts again, and nobody has noticed yet.
+  /// Restarts the worker without a change to the platform's list.
   void restartUndetected(const WorkerId& id, std::int64_t birth)
   {
     workers[id] = FakeWorker(50000, WorkerBirth(birth));
   }
 
-  /// The platform lists it as one on which nothing is to be started.
+  /// Lists the worker as draining, so that nothing is to be started on it.
   void drain(const WorkerId& id)
   {
     WorkerRecord::Fields fields;
@@ -72,7 +72,7 @@
     scheduler.setList(list, now);
   }
 
-  /// The worker on which a run of the task is, or nothing.
+  /// Returns the worker that has a run of the task, if any.
   std::optional<WorkerId> workerOf(const std::string& task) const
   {
     for (const auto& [id, worker] : workers) {
@@ -90,7 +90,8 @@
     settle();
   }
 
-  /// What a holder with the same list tells of the shard's workers.
+  /// Returns what a holder with the same list advertises of the shard's
+  /// workers.
   ShardWorkers advertisedWorkers() const
   {
     return { shard(), scheduler.digest(shard()) };
@@ -118,8 +119,7 @@
     return request;
   }
 
-  /// Delivers all orders that wait. Reports that may wait at the worker are
-  /// answered only if there is an end to tell.
+  /// Delivers all queued orders, and the reports that workers hold back.
   void settle()
   {
     for (int round = 0; round < 20 && !orders.empty(); ++round) {
@@ -129,8 +129,8 @@
     }
   }
 
-  /// Delivers what is due: orders that wait, reports that an end or the time
-  /// brings forth, and orders that were lost on their way.
+  /// Delivers what is due: queued orders, reports for which a run has ended or
+  /// the time is up, and orders that were delayed.
   void deliver()
   {
     while (!m_timed.empty() && m_timed.begin()->first <= now) {
@@ -150,7 +150,8 @@
     }
   }
 
-  /// Ends a run of the task with this name, wherever it is.
+  /// Ends the run of the task on whichever worker has it. Returns false if
+  /// there is none.
   bool end(const std::string& task, RunEnd how)
   {
     for (auto& [id, worker] : workers) {
@@ -201,17 +202,20 @@
   std::uint64_t lastPart = 0;
   /// Share of the orders that get no answer and are carried out late.
   double lostShare = 0;
-  /// Whether starts get no answer and arrive when the test says so.
+  /// Whether starts get no answer and wait in `lateStarts` for the test to
+  /// deliver them.
   bool delaysStarts = false;
   std::vector<std::pair<WorkerId, StartOrder>> lateStarts;
   /// Whether no stop arrives or is answered.
   bool isStopLost = false;
   FencingToken lastToken = 10;
-  /// Reports that were asked for and that don't wait for an end.
+  /// Number of requests for a report that is answered at once.
   unsigned promptReports = 0;
-  /// Of each daemon; just now if it isn't here.
+  /// Last contact of each daemon; the present time for a daemon that isn't
+  /// listed.
   std::map<VmId, TimePoint> lastContacts;
-  /// The same of when it was told of this daemon.
+  /// Time up to which this daemon's workers were advertised to each daemon; the
+  /// present time for a daemon that isn't listed.
   std::map<VmId, TimePoint> toldUntil;
   Scheduler scheduler;
 
@@ -335,7 +339,8 @@
     return std::uniform_real_distribution<double>()(m_random) < lostShare;
   }
 
-  /// The sender hears nothing, and the worker gets the order seconds later.
+  /// The sender gets no answer, and the worker receives the order 3 seconds
+  /// later.
   void lose(std::function<void()> carryOut,
             std::function<void()> unanswered,
             Duration timeout)
--- a/tests/jobs/shardsizes_test.cpp
+++ b/tests/jobs/shardsizes_test.cpp
@@ -10,7 +10,7 @@
 const ZoneName zone("z1");
 const TimePoint start{ seconds(100) };
 
-TEST(CarriedWorkers, FollowTheLinkAndTheProcessorWhicheverBindsFirst)
+TEST(CarriedWorkers, FollowTheTighterLimitOfLinkAndProcessor)
 {
   EXPECT_EQ(carriedWorkers({}), maxWorkersPerShard);
   EXPECT_EQ(carriedWorkers({ 0.12, 25 }), 40u);
@@ -29,14 +29,14 @@
   EXPECT_EQ(sizes.bounds().at(zone), 8u);
   EXPECT_FALSE(sizes.update({ { zone, 40 } }, start + seconds(1)));
   EXPECT_FALSE(sizes.update({ { zone, 8 } }, start + seconds(5)))
-    << "the weakest was away for a moment";
+    << "the weakest daemon was unreachable for a moment";
   EXPECT_FALSE(sizes.update({ { zone, 40 } }, start + seconds(6)));
   EXPECT_FALSE(sizes.update({ { zone, 40 } }, start + seconds(25)));
   EXPECT_TRUE(sizes.update({ { zone, 40 } }, start + seconds(26)));
   EXPECT_EQ(sizes.bounds().at(zone), 40u);
 }
 
-TEST(ShardSizes, OfAZoneThatCantBeHeardStay)
+TEST(ShardSizes, StayForAZoneThatCannotBeReached)
 {
   ShardSizes sizes;
   sizes.update({ { zone, 8 } }, start);
--- a/tests/jobs/submittercontact_test.cpp
+++ b/tests/jobs/submittercontact_test.cpp
@@ -18,7 +18,7 @@
     fixture.take();
   }
 
-  /// With tasks that are long enough not to be taken for stalled.
+  /// A job whose tasks are long enough not to be taken for stalled.
   JobRequest job(unsigned tasks)
   {
     return fixture.request("a", tasks, 6800, 2000);
@@ -30,7 +30,7 @@
     fixture.settle();
   }
 
-  /// No message of the submitter that was sent later is read from now on.
+  /// From now on, no later message of the submitter is received.
   void loseContact() { fixture.lastContacts[gateway] = fixture.now; }
 
   SchedulerFixture fixture;
@@ -48,7 +48,7 @@
   EXPECT_EQ(fixture.running(), 1u);
 }
 
-TEST_F(SubmitterContact, AJobWhoseSubmitterIsLateIsGivenBackAndItsRunsStopped)
+TEST_F(SubmitterContact, AJobOfALateSubmitterIsReturnedAndItsRunsAreStopped)
 {
   const JobRequest request = job(2);
   submit(request);
@@ -65,8 +65,7 @@
   EXPECT_EQ(fixture.running(), 0u);
 }
 
-TEST_F(SubmitterContact,
-       RunsLapseInTimeForASubmitterThatIsGoneThoughNoStopArrives)
+TEST_F(SubmitterContact, LeasesExpireInTimeForALostSubmitterEvenIfNoStopArrives)
 {
   submit(job(2));
   loseContact();
@@ -77,7 +76,7 @@
   EXPECT_EQ(fixture.running(), 0u);
 }
 
-TEST_F(SubmitterContact, ASubmitterThatIsHeardAgainRenewsNothingThatItHasLost)
+TEST_F(SubmitterContact, AMessageFromALostSubmitterRenewsNoLease)
 {
   submit(job(1));
   loseContact();
@@ -91,7 +90,7 @@
   EXPECT_EQ(fixture.running(), 0u);
 }
 
-TEST_F(SubmitterContact, ASubmitterThatIsBackAfterAResetGoesOnWithItsRuns)
+TEST_F(SubmitterContact, AReconnectedSubmitterKeepsItsRuns)
 {
   const JobRequest request = job(1);
   submit(request);
@@ -112,7 +111,7 @@
   EXPECT_EQ(fixture.running(), 1u);
 }
 
-TEST_F(SubmitterContact, AJobThatWaitsForContactIsNotSentElsewhereForWantOfRoom)
+TEST_F(SubmitterContact, AJobThatWaitsForContactIsNotReturnedForLackOfRoom)
 {
   fixture.scheduler.setPeerPlaces(VmId("other"), ShardId(ZoneName("z2"), 0), 5);
   loseContact();
@@ -121,7 +120,7 @@
   EXPECT_TRUE(fixture.returns.empty());
 }
 
-TEST_F(SubmitterContact, AnAdoptedRunIsRenewedBeforeItsOldLeaseIsOver)
+TEST_F(SubmitterContact, TheLeaseOfAnAdoptedRunIsRenewedBeforeItExpires)
 {
   fixture.addWorker("w2");
   const auto end = toMilliseconds(fixture.now.time_since_epoch()) + 60;
@@ -138,7 +137,7 @@
   EXPECT_TRUE(worker.isRunning(RunKey("a.0.0.0", 1)));
 }
 
-TEST_F(SubmitterContact, NothingIsStartedOnAWorkerThatTheSubmitterDoesNotKnowOf)
+TEST_F(SubmitterContact, NothingIsStartedOnAWorkerNotAdvertisedToTheSubmitter)
 {
   fixture.toldUntil[gateway] = fixture.now;
   fixture.now += milliseconds(10);
--- a/tests/jobs/unresolvedstarts_test.cpp
+++ b/tests/jobs/unresolvedstarts_test.cpp
@@ -27,7 +27,7 @@
   EXPECT_FALSE(starts.binding("job.0.0.10"));
 }
 
-TEST(UnresolvedStarts, OfSeveralWorkersLeaveNoneForTheTask)
+TEST(UnresolvedStarts, OnSeveralWorkersLeaveNoWorkerForTheTask)
 {
   UnresolvedStarts starts;
   starts.add({ RunKey(task, 1), w1, now + seconds(12) });
@@ -39,8 +39,8 @@
   EXPECT_EQ(starts.binding(task)->worker, w1);
 }
 
-/// Guards against forgetting a late copy when another daemon tells of an older
-/// one of the same run.
+/// Guards against forgetting a late copy when another daemon announces an older
+/// copy of the same run.
 TEST(UnresolvedStarts, EndWhenTheLastCopyExpires)
 {
   UnresolvedStarts starts;
