--- a/src/libjobs/scheduler.cpp
+++ b/src/libjobs/scheduler.cpp
@@ -13,6 +13,9 @@
 /// Weight of the newest task in the moving mean of task sizes.
 constexpr double sizeWeight = 0.05;
 
+/// Smallest size assumed for a slot, in thousandths of a core.
+constexpr std::int64_t minSlotCpuMillis = 1000;
+
 RestartCause
 causeOf(RunEnd end, bool wasStalled)
 {
@@ -485,7 +488,7 @@
 {
   const auto usual = static_cast<std::int64_t>(m_meanCpuMillis);
   const unsigned slots =
-    m_pool.freeSlots(shard, std::max<std::int64_t>(usual, 1000), now);
+    m_pool.freeSlots(shard, std::max(usual, minSlotCpuMillis), now);
   const std::size_t waiting = m_queue.waitingTasks(shard);
   return slots > waiting ? slots - static_cast<unsigned>(waiting) : 0;
 }
