--- a/src/libjobs/jobrequest.h
+++ b/src/libjobs/jobrequest.h
@@ -75,6 +75,7 @@
   /// Time since the daemon was lost. Only what workers report since then shows
   /// what it has left behind.
   Duration age = Duration::zero();
+  /// How much longer the runs may go on if no worker reports.
   Duration remaining = Duration::zero();
   /// The tasks that may be in progress, if the daemon reported them. For each
   /// of them it is enough that its own worker has reported.
--- a/src/libjobs/scheduler.h
+++ b/src/libjobs/scheduler.h
@@ -107,6 +107,9 @@
 
   Scheduler(VmId self, Settings settings, Hooks hooks);
 
+  /// Accepts a job, or continues one under a new key, see
+  /// `JobRequest::previousPart`. A job that can't be accepted ends at once with
+  /// the reason as its outcome.
   void submit(JobRequest request, TimePoint now);
   /// Stops the runs of a job whose caller has disconnected. No end is reported.
   void cancel(const JobKey& key, TimePoint now);
@@ -115,7 +118,7 @@
   void keep(const JobKey& key, TimePoint now);
   /// Called when a daemon has become unreachable: its jobs are abandoned soon
   /// unless it submits them again. `wasSilent` says that nothing was received
-  /// from it for the silence limit; otherwise its connection was lost.
+  /// from it for the silence limit.
   void daemonLost(const VmId& vm, bool wasSilent, TimePoint now);
   /// Called when a message is received from a submitter after a gap: starts the
   /// tasks that waited for it.
@@ -143,11 +146,15 @@
   {
     return m_pool.adoptDivision(shard);
   }
+  /// Returns the shard of the present division that has workers of a shard of
+  /// another division, see `ShardMap::present`.
   ShardId presentShard(const ShardId& shard) const
   {
     return m_pool.presentShard(shard);
   }
+  /// Takes a shard: claims its listed workers with this fencing token.
   void takeShard(const ShardId& shard, FencingToken token, TimePoint now);
+  /// Returns a hash of the set of a shard's workers, see `WorkerPool::digest`.
   ShardDigest digest(const ShardId& shard) const
   {
     return m_pool.digest(shard);
@@ -169,6 +176,7 @@
     if (!m_pool.isEvacuated(shard.zone()))
       m_peerSlots.set(vm, shard, slots);
   }
+  /// Removes the free slots that another daemon has advertised.
   void forgetPeer(const VmId& vm) { m_peerSlots.forget(vm); }
   /// Adds a start of unknown outcome that another holder has announced.
   void addUnresolved(const UnresolvedStart& start) { m_unresolved.add(start); }
@@ -176,14 +184,18 @@
   /// holders have announced.
   const UnresolvedStarts& unresolvedStarts() const { return m_unresolved; }
 
+  /// Handles a worker's answer to a hold order, which renews the worker's lease
+  /// and requests a report of its runs, or the lack of an answer.
   void holdAnswered(const WorkerId& worker,
                     const SentHold& sent,
                     const HoldAnswer& answer,
                     TimePoint now);
+  /// Handles a worker's answer to the start of a run, or the lack of one.
   void startAnswered(const WorkerId& worker,
                      const RunKey& key,
                      const OrderAnswer& answer,
                      TimePoint now);
+  /// Handles a worker's answer to the stop of a run, or the lack of one.
   void stopAnswered(const WorkerId& worker,
                     const RunKey& key,
                     const OrderAnswer& answer,
@@ -191,7 +203,10 @@
   /// Called after the process was paused: cancels all jobs of other daemons, as
   /// these have given this daemon up, and starts nothing before `resume`.
   void suspend(TimePoint now);
+  /// Starts waiting tasks again after `suspend`.
   void resume(TimePoint now);
+  /// Handles what is due by now, such as expired leases, passed deadlines and
+  /// stalled runs. Must be called regularly, about every 20 ms.
   void tick(TimePoint now);
 
   /// Returns the number of free slots of a shard for tasks of the usual size,
@@ -202,12 +217,15 @@
   std::size_t jobCount() const { return m_jobs.size(); }
   /// Returns the daemons that have submitted the present jobs.
   std::set<VmId> submitters() const;
+  /// Returns the ids of a submitter's jobs.
   IdList jobsOf(const VmId& submitter) const;
+  /// Returns how often tasks were started again, by cause.
   const LossLog::Counts& restarts() const { return m_losses.restarts(); }
   std::size_t waitingTasks() const { return m_queue.waitingTasks(); }
   const WorkerPool& pool() const { return m_pool; }
 
 private:
+  /// The task that a run belongs to.
   struct RunOwner
   {
     Job* job = nullptr;
@@ -226,8 +244,12 @@
   JobEnd refusal(const Job& job, TimePoint now) const;
   void enqueueTask(Job& job, JobTask& task);
   void dequeueTask(Job& job, JobTask& task, TaskState state);
+  /// Starts waiting tasks in the order of the queue, and returns tasks for
+  /// which another holder has room or whose zone is being evacuated.
   void dispatch(TimePoint now);
   void dispatchJob(Job& job, TimePoint now);
+  /// Tries to start a task. Returns false if no worker can take the job's tasks
+  /// now.
   bool startTask(Job& job, std::size_t position, TimePoint now);
   WorkerConstraints constraintsOf(
     const Job& job,
@@ -257,7 +279,9 @@
   bool mayResend(const RunKey& key) const;
   void tellUnresolved(const UnresolvedStart& start);
   void runActive(const WorkerId& worker, const RunKey& key, int percent);
+  /// Records the run time of a completed task, and how slow its worker was.
   void learn(const Job& job, const JobTask& task, const WorkerId& worker);
+  /// Removes a job and reports its end.
   void finish(Job& job, const JobEnd& end);
   /// Stops the runs of a job and removes it.
   void drop(Job& job);
--- a/src/libjobs/workerpool.h
+++ b/src/libjobs/workerpool.h
@@ -98,6 +98,7 @@
   }
   /// See `ShardMap::adopt`.
   bool adoptDivision(const ShardId& shard) { return m_map.adopt(shard); }
+  /// See `ShardMap::present`.
   ShardId presentShard(const ShardId& shard) const
   {
     return m_map.present(shard);
@@ -113,6 +114,7 @@
     return m_evacuated.count(zone) > 0;
   }
 
+  /// Claims the listed workers of a shard with this fencing token.
   void takeShard(const ShardId& shard, FencingToken token, TimePoint now);
   /// Returns the digest of a shard's workers. In a held shard these are all
   /// workers with a lease, listed or not, as runs may be in progress on them;
