--- a/src/libjobs/job.h
+++ b/src/libjobs/job.h
@@ -123,9 +123,10 @@
 /// would soon be stopped.
 constexpr Duration exclusiveStartMargin = std::chrono::milliseconds(300);
 
-/// How long the runs of a lost daemon may go on. Until their submitter noticed
-/// the loss, it reported itself alive to that daemon. The difference to 1,300
-/// ms covers a slow clock, as above.
+/// How long the runs of a lost daemon may go on. Their submitter reported
+/// itself alive to that daemon until it noticed the loss. The difference to
+/// 1,300 ms, after which a caller submits again, covers a worker's clock that
+/// is slow.
 constexpr Duration lostRunLimit = std::chrono::milliseconds(1270);
 
 Duration
--- a/src/libjobs/jobrequest.h
+++ b/src/libjobs/jobrequest.h
@@ -95,7 +95,7 @@
   /// The name of a task is this prefix followed by its index.
   std::string taskPrefix;
   std::vector<TaskIndex> tasks;
-  /// Number of the first run. Each start of a task raises it by at least one.
+  /// Number of the first run. The number rises with each start of a task.
   std::uint64_t firstRun = 1;
   /// Time since the caller's request arrived.
   Duration age = Duration::zero();
--- a/src/libjobs/machinelimits.h
+++ b/src/libjobs/machinelimits.h
@@ -30,10 +30,10 @@
 /// Returns how many workers a daemon on such a machine can hold, at least 1 and
 /// at most `maxWorkersPerShard`.
 ///
-/// This prevents shards whose orders fill the link or the processor of their
-/// holder. Orders and answers would queue up, be taken for lost and be sent
-/// again, and that load would keep the queues full long after its cause is
-/// gone.
+/// This prevents shards whose orders fill the network link or the processor of
+/// their holder. Orders and answers would queue up, be taken for lost and be
+/// sent again, and that load would keep the queues full long after its cause
+/// has ended.
 std::size_t
 carriedWorkers(const MachineLimits& limits);
 
--- a/src/libjobs/scheduler.h
+++ b/src/libjobs/scheduler.h
@@ -41,9 +41,8 @@
     /// value: a job that has not started is refused once it can't be done by
     /// then.
     double worthlessFactor = 3;
-    /// Share of the workers' capacity that is used for planning. Tasks don't
-    /// fill workers exactly: for example, two tasks of 6.8 cores use 13.6 of 16
-    /// cores.
+    /// Share of the workers' capacity that tasks can use, as they don't fill
+    /// workers exactly: two tasks of 6.8 cores use 13.6 of 16 cores.
     double usableShare = 0.82;
     /// How long the runs of a submitter go on after it became unreachable.
     /// Together with the time that a stop takes, this is well below the 1,300
--- a/tests/jobs/exclusivejobs_test.cpp
+++ b/tests/jobs/exclusivejobs_test.cpp
@@ -117,7 +117,8 @@
   EXPECT_EQ(fixture.endOf(request), nullptr);
 }
 
-/// Guards against lifting the limit of a job that has ended meanwhile.
+/// Guards against an effect of lifting the limit of a job that has ended
+/// meanwhile.
 TEST_F(ExclusiveJobs, LiftingTheLimitOfAnUnknownJobDoesNothing)
 {
   const JobRequest request = exclusive("a", 1);
--- a/tests/jobs/scheduler_test.cpp
+++ b/tests/jobs/scheduler_test.cpp
@@ -522,8 +522,9 @@
   EXPECT_EQ(fixture.endOf(bad)->outcome, JobOutcome::Failed);
 }
 
-/// Workers that are unreachable in turn end a task's runs as often as that. A
-/// job that could still be done must not be reported as failed.
+/// Workers that become unreachable in turn end a task's runs as often as
+/// crashes would. A job that could still be done must not be reported as
+/// failed.
 TEST_F(SchedulerTest, RunsWithAnExpiredLeaseOnSilentWorkersAreNoCrashes)
 {
   JobRequest job = fixture.request("a", 1, 4000, 5000);
