--- a/src/libjobs/admission.cpp
+++ b/src/libjobs/admission.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// Share of the capacity that a job gets at least however much goes before it:
-/// newcomers are refused themselves when they come too fast.
-constexpr double leastShare = 0.1;
-/// A caller that is refused is told to come back after this long at least.
+/// Smallest share of the capacity that a job is assumed to get, however much is
+/// served before it: later jobs are themselves refused when they arrive too
+/// fast.
+constexpr double minCapacityShare = 0.1;
+/// Shortest delay after which a refused caller is told to retry.
 constexpr Duration minRetryAfter = std::chrono::milliseconds(200);
 
 } // namespace
@@ -21,8 +22,8 @@
 {
   if (backlog.capacity <= 0)
     return Duration::zero();
-  const double left = std::max(backlog.capacity - backlog.takenByNewcomers,
-                               backlog.capacity * leastShare);
+  const double left = std::max(backlog.capacity - backlog.takenByLaterJobs,
+                               backlog.capacity * minCapacityShare);
   return Duration(std::int64_t(backlog.workBefore / left));
 }
 
@@ -32,8 +33,8 @@
   if (!request.canEverRun)
     return false;
   if (request.isSuggested)
-    return request.freePlaces > 0;
-  if (request.freePlaces >= request.tasks || request.mayGoElsewhere)
+    return request.freeSlots > 0;
+  if (request.freeSlots >= request.tasks || request.mayGoElsewhere)
     return true;
   const Duration end = request.age + request.expectedWait + request.runTime;
   return end <= scaled(request.objective, refusalFactor);
--- /dev/null
+++ b/src/libjobs/machinelimits.h
@@ -0,0 +1,40 @@
+#pragma once
+
+#include <cstddef>
+
+namespace cowslippin {
+
+/// Resources that a daemon's machine may use. 0 means that a resource isn't
+/// limited.
+struct MachineLimits
+{
+  /// Processor seconds per second.
+  double cores = 0;
+  /// Bandwidth of the network link in each direction.
+  double megabitsPerSecond = 0;
+
+  friend bool operator==(const MachineLimits& a, const MachineLimits& b)
+  {
+    return a.cores == b.cores && a.megabitsPerSecond == b.megabitsPerSecond;
+  }
+  friend bool operator!=(const MachineLimits& a, const MachineLimits& b)
+  {
+    return !(a == b);
+  }
+};
+
+/// Maximum number of workers per shard, so that the loss of one holder affects
+/// few of a zone's jobs.
+constexpr std::size_t maxWorkersPerShard = 40;
+
+/// Returns how many workers a daemon on such a machine can hold, at least 1 and
+/// at most `maxWorkersPerShard`.
+///
+/// This prevents shards whose orders fill the network link or the processor of
+/// their holder. Orders and answers would queue up, be taken for lost and be
+/// sent again, and that load would keep the queues full long after its cause
+/// has ended.
+std::size_t
+carriedWorkers(const MachineLimits& limits);
+
+} // namespace cowslippin
--- a/src/libjobs/peerplaces.h
+++ b/src/libjobs/peerplaces.h
@@ -8,31 +8,32 @@
 
 namespace cowslippin {
 
-/// Free places on the shards of other holders, as they told last, less what has
-/// been sent there since.
-class PeerPlaces
+/// Free slots on the shards of other holders: what the holders last advertised,
+/// less what has been sent there since.
+class PeerSlots
 {
 public:
-  /// A shard with places to give.
+  /// A shard that has slots to offer.
   struct Offer
   {
     VmId holder;
     ShardId shard;
-    unsigned places = 0;
+    unsigned slots = 0;
   };
 
-  void set(const VmId& holder, const ShardId& shard, unsigned places);
+  void set(const VmId& holder, const ShardId& shard, unsigned slots);
   void forget(const VmId& holder);
   void forget(const ZoneName& zone);
 
-  /// The shard that has most places to give, if any has one.
+  /// Returns the shard that offers the most slots, if any shard offers one.
   std::optional<Offer> best() const;
 
-  /// Counts a place of the shard as used. False if it has none to give.
+  /// Counts one slot of the shard as used. Returns false if the shard offers
+  /// none.
   bool take(const ShardId& shard);
 
 private:
-  struct Places
+  struct Slots
   {
     VmId holder;
     unsigned count = 0;
@@ -41,15 +42,15 @@
   template<class Predicate>
   void forgetIf(Predicate mustForget)
   {
-    for (auto place = m_places.begin(); place != m_places.end();) {
-      if (mustForget(place->first, place->second))
-        place = m_places.erase(place);
+    for (auto entry = m_places.begin(); entry != m_places.end();) {
+      if (mustForget(entry->first, entry->second))
+        entry = m_places.erase(entry);
       else
-        ++place;
+        ++entry;
     }
   }
 
-  std::map<ShardId, Places> m_places;
+  std::map<ShardId, Slots> m_places;
 };
 
 } // namespace cowslippin
--- a/tests/jobs/submittercontact_test.cpp
+++ b/tests/jobs/submittercontact_test.cpp
@@ -18,7 +18,7 @@
     fixture.take();
   }
 
-  /// With tasks that are long enough not to be taken for stalled.
+  /// A job whose tasks are long enough not to be taken for stalled.
   JobRequest job(unsigned tasks)
   {
     return fixture.request("a", tasks, 6800, 2000);
@@ -30,8 +30,8 @@
     fixture.settle();
   }
 
-  /// No message of the submitter that was sent later is read from now on.
-  void loseContact() { fixture.contacts[gateway] = fixture.now; }
+  /// From now on, no later message of the submitter is received.
+  void loseContact() { fixture.lastContacts[gateway] = fixture.now; }
 
   SchedulerFixture fixture;
 };
@@ -42,13 +42,13 @@
   fixture.now += milliseconds(800);
   submit(job(1));
   EXPECT_EQ(fixture.running(), 0u);
-  fixture.contacts[gateway] = fixture.now;
+  fixture.lastContacts[gateway] = fixture.now;
   fixture.scheduler.contactRenewed(fixture.now);
   fixture.settle();
   EXPECT_EQ(fixture.running(), 1u);
 }
 
-TEST_F(SubmitterContact, AJobWhoseSubmitterIsLateIsGivenBackAndItsRunsStopped)
+TEST_F(SubmitterContact, AJobOfALateSubmitterIsReturnedAndItsRunsAreStopped)
 {
   const JobRequest request = job(2);
   submit(request);
@@ -65,8 +65,7 @@
   EXPECT_EQ(fixture.running(), 0u);
 }
 
-TEST_F(SubmitterContact,
-       RunsLapseInTimeForASubmitterThatIsGoneThoughNoStopArrives)
+TEST_F(SubmitterContact, LeasesExpireInTimeForALostSubmitterEvenIfNoStopArrives)
 {
   submit(job(2));
   loseContact();
@@ -77,7 +76,7 @@
   EXPECT_EQ(fixture.running(), 0u);
 }
 
-TEST_F(SubmitterContact, ASubmitterThatIsHeardAgainRenewsNothingThatItHasLost)
+TEST_F(SubmitterContact, AMessageFromALostSubmitterRenewsNoLease)
 {
   submit(job(1));
   loseContact();
@@ -86,19 +85,19 @@
   fixture.scheduler.daemonLost(gateway, false, fixture.now);
   fixture.pass(100);
   ASSERT_EQ(fixture.running(), 1u);
-  fixture.contacts.clear();
+  fixture.lastContacts.clear();
   fixture.pass(760);
   EXPECT_EQ(fixture.running(), 0u);
 }
 
-TEST_F(SubmitterContact, ASubmitterThatIsBackAfterAResetGoesOnWithItsRuns)
+TEST_F(SubmitterContact, AReconnectedSubmitterKeepsItsRuns)
 {
   const JobRequest request = job(1);
   submit(request);
   fixture.pass(1000);
   ASSERT_EQ(fixture.running(), 1u);
   fixture.scheduler.daemonLost(gateway, false, fixture.now);
-  fixture.contacts[gateway] = TimePoint{};
+  fixture.lastContacts[gateway] = TimePoint{};
   fixture.pass(20);
   JobRequest again = job(1);
   again.previousPart = request.key.part();
@@ -106,13 +105,13 @@
   submit(again);
   fixture.pass(60);
   EXPECT_EQ(fixture.endOf(again), nullptr);
-  fixture.contacts[gateway] = fixture.now;
+  fixture.lastContacts[gateway] = fixture.now;
   fixture.scheduler.contactRenewed(fixture.now);
   fixture.pass(60);
   EXPECT_EQ(fixture.running(), 1u);
 }
 
-TEST_F(SubmitterContact, AJobThatWaitsForContactIsNotSentElsewhereForWantOfRoom)
+TEST_F(SubmitterContact, AJobThatWaitsForContactIsNotReturnedForLackOfRoom)
 {
   fixture.scheduler.setPeerPlaces(VmId("other"), ShardId(ZoneName("z2"), 0), 5);
   loseContact();
@@ -121,7 +120,7 @@
   EXPECT_TRUE(fixture.returns.empty());
 }
 
-TEST_F(SubmitterContact, AnAdoptedRunIsRenewedBeforeItsOldLeaseIsOver)
+TEST_F(SubmitterContact, TheLeaseOfAnAdoptedRunIsRenewedBeforeItExpires)
 {
   fixture.addWorker("w2");
   const auto end = toMilliseconds(fixture.now.time_since_epoch()) + 60;
@@ -138,7 +137,7 @@
   EXPECT_TRUE(worker.isRunning(RunKey("a.0.0.0", 1)));
 }
 
-TEST_F(SubmitterContact, NothingIsStartedOnAWorkerThatTheSubmitterDoesNotKnowOf)
+TEST_F(SubmitterContact, NothingIsStartedOnAWorkerNotAdvertisedToTheSubmitter)
 {
   fixture.toldUntil[gateway] = fixture.now;
   fixture.now += milliseconds(10);
@@ -159,7 +158,7 @@
   const auto clockError = std::chrono::duration_cast<Duration>(
     lease.leaseTime * (lease.slowestClock - 1));
   EXPECT_LE(settings.startContactLimit + lease.leaseTime, wantedRunLimit);
-  EXPECT_LT(settings.contactLimit, wantedRunLimit);
+  EXPECT_LT(settings.maxContactAge, wantedRunLimit);
   EXPECT_LT(wantedRunLimit + clockError, lostRunLimit);
   EXPECT_LT(wantedRunLimit + 2 * clockError, milliseconds(1300));
 }
