--- a/src/libworkers/answertimes.cpp
+++ b/src/libworkers/answertimes.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 /// Weights of the newest answer in the mean and in the mean deviation, as in
-/// TCP's estimate of round trips.
+/// TCP's round-trip time estimate.
 constexpr double meanWeight = 0.125;
 constexpr double deviationWeight = 0.25;
 
 } // namespace
 
 void
-AnswerTimes::answered(Duration time)
+AnswerTimes::addAnswerTime(Duration time)
 {
   const auto value = double(time.count());
   if (m_answers == 0) {
@@ -25,38 +25,40 @@
     m_deviation += (std::abs(value - m_mean) - m_deviation) * deviationWeight;
     m_mean += (value - m_mean) * meanWeight;
   }
-  m_answers = std::min(m_answers + 1, m_settings.enoughAnswers);
+  m_answers = std::min(m_answers + 1, m_settings.minAnswers);
 }
 
 void
-AnswerTimes::unanswered(TimePoint now)
+AnswerTimes::addUnanswered(TimePoint now)
 {
   m_losses = losses(now) + 1;
   m_lossAt = now;
 }
 
 Duration
-AnswerTimes::answerWait() const
+AnswerTimes::answerTimeout() const
 {
-  if (m_answers < m_settings.enoughAnswers)
-    return m_settings.longestWait;
+  if (m_answers < m_settings.minAnswers)
+    return m_settings.maxAnswerTimeout;
   const Duration wait(
-    std::int64_t(m_mean + m_settings.deviations * m_deviation));
-  return std::clamp(wait, m_settings.shortestWait, m_settings.longestWait);
+    std::int64_t(m_mean + m_settings.deviationFactor * m_deviation));
+  return std::clamp(
+    wait, m_settings.minAnswerTimeout, m_settings.maxAnswerTimeout);
 }
 
 Duration
 AnswerTimes::reportWait(TimePoint now) const
 {
-  return losses(now) >= m_settings.lossLimit ? m_settings.shortReportWait
-                                             : m_settings.reportWait;
+  return losses(now) >= m_settings.lossThreshold ? m_settings.shortReportWait
+                                                 : m_settings.reportWait;
 }
 
 double
 AnswerTimes::losses(TimePoint now) const
 {
   const double age = double((now - m_lossAt).count());
-  return m_losses * std::exp(-age / double(m_settings.lossWindow.count()));
+  return m_losses *
+         std::exp(-age / double(m_settings.lossTimeConstant.count()));
 }
 
 } // namespace cowslippin
--- a/src/libworkers/answertimes.h
+++ b/src/libworkers/answertimes.h
@@ -4,37 +4,42 @@
 
 namespace cowslippin {
 
-/// How long workers take to answer orders, and whether orders are being lost.
+/// Derives from the workers' answers how long to wait for an answer and for a
+/// report.
 ///
-/// It answers orders that get no answer and are carried out seconds later. An
-/// answer takes 1 to 3 ms; waiting 90 ms for one that doesn't come, and up to
-/// 200 ms more for the next report, cost a job of eight tasks its ideal time in
-/// two of five cases when one order in twenty was lost. The wait follows what
-/// answers take, so that a daemon short of processor time doesn't give up
-/// orders that are on their way. Lost reports are replaced sooner while orders
-/// are seen to be lost; else a short report wait would only cost messages.
+/// An order may get no answer and still be carried out seconds later. An answer
+/// takes 1 to 3 ms. With a fixed wait of 90 ms for a missing answer, and up to
+/// 200 ms more for the next report, two of five jobs of eight tasks missed
+/// their ideal time when one order in twenty was lost. The timeout therefore
+/// follows the answer times, so that a daemon short of processor time doesn't
+/// give up orders that are still in transit. While orders are being lost,
+/// reports are requested with a shorter wait, so that a lost report is replaced
+/// sooner; otherwise a short wait would only cost messages.
 class AnswerTimes
 {
 public:
   struct Settings
   {
-    /// The wait is never longer; it is so long until enough answers were seen.
-    Duration longestWait = std::chrono::milliseconds(90);
-    /// It is never shorter: ten times what an answer takes, and a tick.
-    Duration shortestWait = std::chrono::milliseconds(30);
-    /// Answers after which their times are trusted.
-    unsigned enoughAnswers = 20;
-    /// The wait is the mean and so many mean deviations.
-    double deviations = 8;
-    /// How long a worker holds its report back for an end to report. Three
-    /// unanswered reports in a row still leave a lease of 750 ms alive.
+    /// Upper bound of the answer timeout, and its value until `minAnswers`
+    /// answers were received.
+    Duration maxAnswerTimeout = std::chrono::milliseconds(90);
+    /// Lower bound of the answer timeout: ten times the usual answer time, plus
+    /// a tick.
+    Duration minAnswerTimeout = std::chrono::milliseconds(30);
+    /// Number of answers after which their times determine the timeout.
+    unsigned minAnswers = 20;
+    /// The timeout is the mean plus this many mean deviations.
+    double deviationFactor = 8;
+    /// How long a worker may hold back its report until a run ends. After three
+    /// consecutive unanswered reports, a lease of 750 ms has still not expired.
     Duration reportWait = std::chrono::milliseconds(200);
-    /// The same while orders are being lost.
+    /// Used instead of `reportWait` while orders are being lost.
     Duration shortReportWait = std::chrono::milliseconds(50);
-    /// Orders count as being lost from so many without an answer ...
-    double lossLimit = 3;
-    /// ... in a moving sum of this time constant.
-    Duration lossWindow = std::chrono::seconds(1);
+    /// Orders count as being lost if an exponentially decaying count of
+    /// unanswered orders reaches this value.
+    double lossThreshold = 3;
+    /// Time constant of that decay.
+    Duration lossTimeConstant = std::chrono::seconds(1);
   };
 
   explicit AnswerTimes(Settings settings)
@@ -42,13 +47,13 @@
   {
   }
 
-  /// A start was answered after this time.
-  void answered(Duration time);
-  /// An order got no answer in time.
-  void unanswered(TimePoint now);
+  /// Records that a start was answered after this time.
+  void addAnswerTime(Duration time);
+  /// Records that an order was not answered before its timeout.
+  void addUnanswered(TimePoint now);
 
-  /// How long to wait for the answer to an order that is answered at once.
-  Duration answerWait() const;
+  /// Timeout of an order that is answered at once.
+  Duration answerTimeout() const;
   Duration reportWait(TimePoint now) const;
 
 private:
--- a/src/libworkers/holdreport.h
+++ b/src/libworkers/holdreport.h
@@ -8,19 +8,18 @@
 
 namespace cowslippin {
 
-/// How a run came to its end.
 enum class RunEnd
 {
   Done,
-  /// By its own fault or the worker's.
+  /// The run failed, through its own fault or the worker's.
   Failed,
-  /// By an order.
+  /// A stop order ended the run.
   Stopped,
-  /// Its lease ran out.
+  /// The lease expired.
   Lapsed,
-  /// Another member of its gang ended, or never came.
+  /// Another member of the run's gang ended or never started.
   GangBroken,
-  /// The worker is gone, or never began it.
+  /// The worker is gone or never started the run.
   Lost,
 };
 
@@ -44,29 +43,29 @@
   return "unknown";
 }
 
-/// A run that a worker is working on.
+/// A run in progress on a worker.
 struct ActiveRun
 {
   RunKey key;
-  /// Share of its work that is done, 0 to 100.
+  /// Share of the work that is done, 0 to 100.
   int percent = 0;
 };
 
 /// A run that has ended and whose end has not been acknowledged.
 struct EndedRun
 {
-  /// Rises with each end in the present life of the worker, from 1.
+  /// Sequence number of the end in the worker's current incarnation, from 1.
   std::uint64_t number = 0;
   RunKey key;
   RunEnd end = RunEnd::Lost;
 };
 
-/// What a worker tells its lease holder.
+/// State of a worker as reported to its lease holder.
 struct HoldReport
 {
   WorkerBirth birth;
-  /// The worker's own clock at the time of the report, in milliseconds. It may
-  /// begin anew with each life.
+  /// The worker's own clock when it made the report, in milliseconds. It may
+  /// restart with each incarnation.
   std::int64_t clockMs = 0;
   std::vector<ActiveRun> active;
   std::vector<EndedRun> ended;
--- a/src/libworkers/leasenote.h
+++ b/src/libworkers/leasenote.h
@@ -9,14 +9,14 @@
 
 namespace cowslippin {
 
-/// A run that nobody has asked for is stopped.
+/// An orphaned run that nobody asked for is being stopped.
 struct StrayStopped
 {
   RunKey key;
   Duration age;
 };
 
-/// A stop was not carried out, as far as is known.
+/// A stop was not carried out, as far as this daemon knows.
 struct StopFailed
 {
   RunKey key;
@@ -26,20 +26,22 @@
   Duration sinceLast;
 };
 
-/// The lease was renewed over a run that is to end.
+/// A renewal of the worker's lease extended a run that is to end.
 struct UnwantedRenewal
 {
   RunKey key;
   bool isStray;
-  /// Since its stop was first sent, or since it was found.
+  /// Time since the stop was first sent or, for an orphaned run, since the run
+  /// was found.
   Duration age;
 };
 
-/// All runs of a silent worker are taken as gone.
+/// The lease of a silent worker has expired, so that all its runs count as
+/// ended.
 struct LeaseLapsed
 {
   std::vector<RunKey> runs;
-  /// Zero if there was no report in the worker's present life.
+  /// Zero if the worker's current incarnation has not reported.
   Duration sinceReport;
   Duration sinceLapse;
 };
--- a/src/libworkers/lifetracker.cpp
+++ b/src/libworkers/lifetracker.cpp
@@ -2,53 +2,53 @@
 
 namespace cowslippin {
 
-LifeTracker::LifeTracker(WorkerBirth birth, TimePoint now)
-  : m_present(birth)
+IncarnationTracker::IncarnationTracker(WorkerBirth birth, TimePoint now)
+  : m_current(birth)
   , m_knownSince(now)
 {
 }
 
-WorkerLife
-LifeTracker::seenInList(const WorkerBirth& birth, TimePoint now)
+WorkerIncarnation
+IncarnationTracker::observeListEntry(const WorkerBirth& birth, TimePoint now)
 {
-  if (tellsNothingNew(birth, now))
-    return WorkerLife::Present;
-  if (m_over.count(birth) > 0 || birth < m_present)
-    return WorkerLife::Earlier;
+  if (matchesCurrent(birth, now))
+    return WorkerIncarnation::Current;
+  if (m_ended.count(birth) > 0 || birth < m_current)
+    return WorkerIncarnation::Earlier;
   begin(birth, now);
-  return WorkerLife::Next;
+  return WorkerIncarnation::Next;
 }
 
-WorkerLife
-LifeTracker::seenInAnswer(const WorkerBirth& birth,
-                          TimePoint sent,
-                          TimePoint now)
+WorkerIncarnation
+IncarnationTracker::observeAnswer(const WorkerBirth& birth,
+                                  TimePoint sent,
+                                  TimePoint now)
 {
-  if (tellsNothingNew(birth, now))
-    return WorkerLife::Present;
-  const bool mayBeEarlier = birth < m_present && sent < m_knownSince;
-  if (m_over.count(birth) > 0 || mayBeEarlier)
-    return WorkerLife::Earlier;
+  if (matchesCurrent(birth, now))
+    return WorkerIncarnation::Current;
+  const bool mayBeEarlier = birth < m_current && sent < m_knownSince;
+  if (m_ended.count(birth) > 0 || mayBeEarlier)
+    return WorkerIncarnation::Earlier;
   begin(birth, now);
-  return WorkerLife::Next;
+  return WorkerIncarnation::Next;
 }
 
-/// Whether no other life than the present one is named. The first birth that a
-/// worker tells is that of the present life.
+/// Whether the boot time names no incarnation other than the current one. The
+/// first boot time that a worker reports is that of the current incarnation.
 bool
-LifeTracker::tellsNothingNew(const WorkerBirth& birth, TimePoint now)
+IncarnationTracker::matchesCurrent(const WorkerBirth& birth, TimePoint now)
 {
-  if (birth.isKnown() && !m_present.isKnown())
+  if (birth.isKnown() && !m_current.isKnown())
     begin(birth, now);
-  return !birth.isKnown() || birth == m_present;
+  return !birth.isKnown() || birth == m_current;
 }
 
 void
-LifeTracker::begin(const WorkerBirth& birth, TimePoint now)
+IncarnationTracker::begin(const WorkerBirth& birth, TimePoint now)
 {
-  if (m_present.isKnown())
-    m_over.insert(m_present);
-  m_present = birth;
+  if (m_current.isKnown())
+    m_ended.insert(m_current);
+  m_current = birth;
   m_knownSince = now;
 }
 
--- a/src/libworkers/lifetracker.h
+++ b/src/libworkers/lifetracker.h
@@ -8,46 +8,48 @@
 
 namespace cowslippin {
 
-/// Which life of a worker something was said by.
-enum class WorkerLife
+/// The incarnation of a worker that sent something.
+enum class WorkerIncarnation
 {
-  Present,
-  /// One that is over.
+  Current,
+  /// An incarnation that has ended.
   Earlier,
-  /// One that has begun since.
+  /// An incarnation that was not known before.
   Next,
 };
 
-/// Tells the lives of one worker apart. The platform's list and the worker's
-/// answers may arrive in any order, and answers may overtake each other. The
-/// later birth is the later life; but a worker's clock of day may have been set
-/// back between two lives, so that an answer to an order that was sent after a
-/// life was known is taken for that life or a later one, whatever its birth.
-class LifeTracker
+/// Tells the incarnations of one worker apart. Entries of the platform's worker
+/// list and answers of the worker may arrive in any order, and answers may
+/// overtake each other. A later boot time means a later incarnation, except
+/// that the worker's time of day may have been set back between two
+/// incarnations. An answer to an order that was sent after an incarnation was
+/// known is therefore attributed to that incarnation or a later one, whatever
+/// its boot time.
+class IncarnationTracker
 {
 public:
-  LifeTracker(WorkerBirth birth, TimePoint now);
+  IncarnationTracker(WorkerBirth birth, TimePoint now);
 
-  /// Whether the worker reports its birth. Only such a worker keeps its id when
-  /// it restarts.
-  bool isBirthKnown() const { return m_present.isKnown(); }
+  /// Whether the worker reports its boot time. Only such a worker keeps its id
+  /// when it restarts.
+  bool isBootTimeKnown() const { return m_current.isKnown(); }
 
-  /// An entry of the platform's list. If it is of the next life, that is the
-  /// present one from now on.
-  WorkerLife seenInList(const WorkerBirth& birth, TimePoint now);
-  /// The answer to an order that was sent at `sent`; the same.
-  WorkerLife seenInAnswer(const WorkerBirth& birth,
-                          TimePoint sent,
-                          TimePoint now);
+  /// Classifies an entry of the platform's worker list. If the entry is of the
+  /// next incarnation, that becomes the current one.
+  WorkerIncarnation observeListEntry(const WorkerBirth& birth, TimePoint now);
+  /// Classifies the answer to an order sent at `sent`, and does the same.
+  WorkerIncarnation observeAnswer(const WorkerBirth& birth,
+                                  TimePoint sent,
+                                  TimePoint now);
 
 private:
-  bool tellsNothingNew(const WorkerBirth& birth, TimePoint now);
+  bool matchesCurrent(const WorkerBirth& birth, TimePoint now);
   void begin(const WorkerBirth& birth, TimePoint now);
 
-  WorkerBirth m_present;
+  WorkerBirth m_current;
   TimePoint m_knownSince;
-  /// Births of lives that are over.
-  std::set<WorkerBirth> m_over;
+  /// Boot times of incarnations that have ended.
+  std::set<WorkerBirth> m_ended;
 };
 
 } // namespace cowslippin
--- a/src/libworkers/resources.h
+++ b/src/libworkers/resources.h
@@ -5,7 +5,7 @@
 
 namespace cowslippin {
 
-/// What a task needs or a worker has.
+/// Resources that a task needs or a worker has.
 class Resources
 {
 public:
@@ -24,7 +24,7 @@
   std::int64_t memoryMb() const { return m_memoryMb; }
   std::int64_t accelerators() const { return m_accelerators; }
 
-  /// Whether all of this is within `room`.
+  /// Whether no component exceeds that of `room`.
   bool fitsIn(const Resources& room) const
   {
     return m_cpuMillis <= room.m_cpuMillis && m_memoryMb <= room.m_memoryMb &&
@@ -54,7 +54,7 @@
     return !(a == b);
   }
 
-  /// The larger of the two of each.
+  /// The component-wise maximum.
   friend Resources largerOf(const Resources& a, const Resources& b)
   {
     return { std::max(a.m_cpuMillis, b.m_cpuMillis),
--- a/src/libworkers/runkey.h
+++ b/src/libworkers/runkey.h
@@ -7,7 +7,8 @@
 
 namespace cowslippin {
 
-/// One run of one task. The number rises with every start of the task.
+/// Identifies one run of one task. The run number rises with every start of the
+/// task.
 class RunKey
 {
 public:
--- a/src/libworkers/unansweredstarts.cpp
+++ b/src/libworkers/unansweredstarts.cpp
@@ -12,7 +12,7 @@
   Start& start = m_starts[key];
   start.resources = resources;
   start.expiresAt = expiresAt;
-  ++start.sent;
+  ++start.copiesSent;
 }
 
 void
@@ -21,25 +21,26 @@
   const auto start = m_starts.find(key);
   if (start == m_starts.end())
     return;
-  ++start->second.answered;
-  removeIfSettled(start);
+  ++start->second.copiesAnswered;
+  removeIfAccountedFor(start);
 }
 
 void
-UnansweredStarts::noteRun(const RunKey& key)
+UnansweredStarts::runReported(const RunKey& key)
 {
   const auto start = m_starts.find(key);
   if (start == m_starts.end())
     return;
-  start->second.isRunSeen = true;
-  removeIfSettled(start);
+  start->second.isRunReported = true;
+  removeIfAccountedFor(start);
 }
 
 void
-UnansweredStarts::removeIfSettled(Starts::iterator start)
+UnansweredStarts::removeIfAccountedFor(Starts::iterator start)
 {
-  const unsigned seen = start->second.isRunSeen ? 1 : 0;
-  if (std::max(start->second.answered, seen) >= start->second.sent)
+  const unsigned reported = start->second.isRunReported ? 1 : 0;
+  if (std::max(start->second.copiesAnswered, reported) >=
+      start->second.copiesSent)
     m_starts.erase(start);
 }
 
--- a/src/libworkers/unansweredstarts.h
+++ b/src/libworkers/unansweredstarts.h
@@ -27,30 +27,32 @@
   }
 };
 
-/// Start orders that were sent to a worker and have not been answered. A start
-/// that was sent more than once has several copies on their way. Each may
-/// still be carried out until it expires, even by a later life of the worker,
-/// which has no record of earlier fencing tokens and stops. It reads no clock.
+/// The start orders that were sent to a worker and have not been answered. If a
+/// start was sent more than once, several copies of it are in transit. Each
+/// copy may still be carried out until it expires, even by a later incarnation
+/// of the worker, which has no record of earlier fencing tokens and stops. The
+/// class reads no clock.
 class UnansweredStarts
 {
 public:
-  /// Adds a start, or another copy of one, that can no longer be carried out at
+  /// Adds a start, or another copy of it, that can no longer be carried out at
   /// `expiresAt`.
   void add(const RunKey& key, const Resources& resources, TimePoint expiresAt);
-  /// Removes a copy of a start that has been answered or could not be sent.
+  /// Removes a copy of a start that was answered or could not be sent.
   void remove(const RunKey& key);
-  /// A report has shown the run: a copy was carried out, perhaps one that was
-  /// answered.
-  void noteRun(const RunKey& key);
+  /// Records that a report lists the run: one copy was carried out, possibly
+  /// one that was answered.
+  void runReported(const RunKey& key);
   /// Removes the starts that can no longer be carried out.
   void expire(TimePoint now);
 
   bool isEmpty() const { return m_starts.empty(); }
   bool contains(const RunKey& key) const { return m_starts.count(key) > 0; }
-  /// When a start can no longer be carried out; nothing if it isn't here.
+  /// When the start can no longer be carried out; nothing if no start of this
+  /// key is unanswered.
   std::optional<TimePoint> expiry(const RunKey& key) const;
   std::vector<UnansweredStart> all() const;
-  /// The resources of all the starts together.
+  /// Total resources of all the starts.
   Resources total() const;
 
 private:
@@ -58,13 +60,13 @@
   {
     Resources resources;
     TimePoint expiresAt{};
-    unsigned sent = 0;
-    unsigned answered = 0;
-    bool isRunSeen = false;
+    unsigned copiesSent = 0;
+    unsigned copiesAnswered = 0;
+    bool isRunReported = false;
   };
   using Starts = std::map<RunKey, Start>;
 
-  void removeIfSettled(Starts::iterator start);
+  void removeIfAccountedFor(Starts::iterator start);
 
   Starts m_starts;
 };
--- a/src/libworkers/workerbirth.h
+++ b/src/libworkers/workerbirth.h
@@ -5,9 +5,9 @@
 
 namespace cowslippin {
 
-/// When the present life of a worker began, by its own clock of day. A worker
-/// that starts again keeps its id and has another birth. Workers that don't
-/// tell have an unknown one.
+/// When the current incarnation of a worker booted, by the worker's time of
+/// day. A worker that restarts keeps its id and has another boot time. The boot
+/// time is unknown for workers that don't report one.
 class WorkerBirth
 {
 public:
@@ -28,7 +28,7 @@
   {
     return !(a == b);
   }
-  /// An unknown birth goes before any other.
+  /// An unknown boot time is less than any other.
   friend bool operator<(const WorkerBirth& a, const WorkerBirth& b)
   {
     return a.m_milliseconds < b.m_milliseconds;
--- a/src/libworkers/workerhealth.cpp
+++ b/src/libworkers/workerhealth.cpp
@@ -18,17 +18,17 @@
                      m_slowness > m_settings.slownessLimit;
   const bool failedProbation = m_isOnProbation && isFailure;
   if (isBad || failedProbation) {
-    keepOff(now);
+    exclude(now);
   } else if (m_isOnProbation && m_failureShare < m_settings.failureLimit / 2) {
     m_isOnProbation = false;
-    m_pause = Duration::zero();
+    m_exclusion = Duration::zero();
   }
 }
 
 void
 WorkerHealth::stalled(TimePoint now)
 {
-  keepOff(now);
+  exclude(now);
 }
 
 bool
@@ -40,16 +40,17 @@
 }
 
 void
-WorkerHealth::keepOff(TimePoint now)
+WorkerHealth::exclude(TimePoint now)
 {
   if (isKeptOff(now))
     return;
-  m_pause = m_pause == Duration::zero()
-              ? m_settings.firstPause
-              : std::min(m_pause * 2, m_settings.longestPause);
-  m_keptOffUntil = now + m_pause;
+  m_exclusion = m_exclusion == Duration::zero()
+                  ? m_settings.firstExclusion
+                  : std::min(m_exclusion * 2, m_settings.maxExclusion);
+  m_excludedUntil = now + m_exclusion;
   m_isOnProbation = true;
-  // One good run on probation shows more than what came before it.
+  // Lowers both averages, because one good run on probation is better evidence
+  // than the runs before it.
   m_failureShare = std::min(m_failureShare, m_settings.failureLimit * 0.7);
   m_slowness = std::min(m_slowness, m_settings.slownessLimit * 0.9);
 }
--- a/src/libworkers/workerlease.cpp
+++ b/src/libworkers/workerlease.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 bool
-tellsOfAnotherLife(const HoldAnswer& answer)
+isFromOtherIncarnation(const HoldAnswer& answer)
 {
   const auto* failure = std::get_if<OrderFailure>(&answer);
   return failure != nullptr && *failure == OrderFailure::OtherLife;
@@ -46,33 +46,34 @@
   : m_record(std::move(record))
   , m_settings(settings)
   , m_hooks(std::move(hooks))
-  , m_times(std::move(times))
-  , m_life(m_record.birth(), now)
+  , m_answerTimes(std::move(times))
+  , m_incarnations(m_record.birth(), now)
 {
 }
 
 void
 WorkerLease::setRecord(const WorkerRecord& record, TimePoint now)
 {
-  const WorkerLife life = m_life.seenInList(record.birth(), now);
-  if (life == WorkerLife::Earlier)
+  const WorkerIncarnation incarnation =
+    m_incarnations.observeListEntry(record.birth(), now);
+  if (incarnation == WorkerIncarnation::Earlier)
     return;
   m_record = record;
-  if (life == WorkerLife::Next)
-    beginNextLife(now);
+  if (incarnation == WorkerIncarnation::Next)
+    beginNextIncarnation(now);
 }
 
 void
 WorkerLease::claim(FencingToken token, TimePoint now)
 {
-  // A worker that has only started again has had no other holder since.
+  // A worker that has only restarted has had no other holder since.
   if (m_state != LeaseState::Restarted)
-    m_unknownStartsUntil = now + m_settings.lateOrderLimit;
+    m_earlierHoldersStartsUntil = now + m_settings.maxOrderDelay;
   m_token = token;
-  m_unanswered = 0;
-  m_holdsUnderWay = 0;
+  m_unansweredReports = 0;
+  m_reportRequestsInFlight = 0;
   setState(LeaseState::Claiming);
-  m_nextHoldAt = now;
+  m_nextReportRequestAt = now;
   sendHold(Duration::zero(), now);
 }
 
@@ -85,13 +86,14 @@
   Run run;
   run.resources = resources;
   run.spec = spec;
-  m_used = m_used + resources;
+  m_usedCapacity = m_usedCapacity + resources;
   sendStart(key, m_runs.emplace(key, run).first->second, now);
 }
 
-/// Sends a start. One that is sent only because a report has just arrived is
-/// followed by the request for another: if the worker has restarted in between,
-/// its new life is claimed, and late starts are fenced, a round trip later.
+/// Sends a start. A start that is sent only because a report has just arrived
+/// is followed by a request for another report: if the worker has restarted in
+/// between, its new incarnation is claimed, and late starts are fenced, one
+/// round trip later.
 void
 WorkerLease::sendStart(const RunKey& key, Run& run, TimePoint now)
 {
@@ -101,10 +103,10 @@
   ++run.startsSent;
   run.isResendDue = false;
   const StartOrder order{ m_token, key, run.spec, run.startDeadlineMs };
-  if (m_life.isBirthKnown())
-    m_unansweredStarts.add(key, run.resources, now + m_settings.lateOrderLimit);
-  m_hooks.sendStart(order, m_times->answerWait());
-  if (mayOverfillNextLife())
+  if (m_incarnations.isBootTimeKnown())
+    m_unansweredStarts.add(key, run.resources, now + m_settings.maxOrderDelay);
+  m_hooks.sendStart(order, m_answerTimes->answerTimeout());
+  if (mayOvercommitNextIncarnation())
     refresh(now);
 }
 
@@ -122,12 +124,13 @@
 WorkerLease::adopt(const std::string& task, const Resources& resources)
 {
   for (auto& [key, run] : m_runs) {
-    if (!run.isStray || run.state == RunState::Stopping || key.task() != task)
+    if (!run.isOrphaned || run.state == RunState::Stopping ||
+        key.task() != task)
       continue;
-    run.isStray = false;
+    run.isOrphaned = false;
     run.resources = resources;
-    m_used = m_used + resources;
-    --m_strays;
+    m_usedCapacity = m_usedCapacity + resources;
+    --m_orphanCount;
     return key;
   }
   return std::nullopt;
@@ -138,12 +141,12 @@
                           const HoldAnswer& answer,
                           TimePoint now)
 {
-  if (sent.token != m_token && !tellsOfAnotherLife(answer))
+  if (sent.token != m_token && !isFromOtherIncarnation(answer))
     return;
-  if (m_holdsUnderWay > 0)
-    --m_holdsUnderWay;
+  if (m_reportRequestsInFlight > 0)
+    --m_reportRequestsInFlight;
   if (const auto* failure = std::get_if<OrderFailure>(&answer)) {
-    holdFailed(*failure, now);
+    reportRequestFailed(*failure, now);
     return;
   }
   applyReport(std::get<HoldReport>(answer), sent.at, now);
@@ -161,9 +164,9 @@
     return;
   Run& run = found->second;
   if (answer == OrderFailure::Unanswered)
-    m_times->unanswered(now);
+    m_answerTimes->addUnanswered(now);
   else if (answer != OrderFailure::NotSent)
-    m_times->answered(now - run.since);
+    m_answerTimes->addAnswerTime(now - run.since);
   if (!answer) {
     if (run.state == RunState::Starting)
       run.state = RunState::Running;
@@ -189,12 +192,12 @@
 bool
 WorkerLease::canResend(const RunKey& key) const
 {
-  return m_life.isBirthKnown() && m_state == LeaseState::Held &&
+  return m_incarnations.isBootTimeKnown() && m_state == LeaseState::Held &&
          !m_record.isDraining() && m_hooks.mayResend(key);
 }
 
-/// Sends starts without an answer again, right after a prompt report as
-/// `isSafeToStart` asks for.
+/// Sends unanswered starts again, right after a promptly answered report, as
+/// `isSafeToStart` requires.
 void
 WorkerLease::resendStarts(TimePoint now)
 {
@@ -216,8 +219,8 @@
                           TimePoint now)
 {
   Run& run = found->second;
-  // An order of before the last claim is refused because of that claim.
-  const bool isRefusalOfThisToken = run.token == m_token;
+  // An order sent before the last claim is refused because of that claim.
+  const bool isSentWithCurrentToken = run.token == m_token;
   const bool isFenced = failure == OrderFailure::Fenced;
   if (run.startsSent > 1 && failure == OrderFailure::StaleRun) {
     // Another copy was carried out; a report shows what became of it.
@@ -228,11 +231,12 @@
     refresh(now);
   } else if (run.startsSent > 1 && !isFenced) {
     stop(found->first, now);
-  } else if (!run.isStray) {
-    // A run that the worker reports has begun by another order.
+  } else if (!run.isOrphaned) {
+    // Another order started an orphaned run, so that this refusal doesn't
+    // concern it.
     rejectRun(found, failure);
   }
-  if (isFenced && isRefusalOfThisToken)
+  if (isFenced && isSentWithCurrentToken)
     setState(LeaseState::Fenced);
 }
 
@@ -245,7 +249,7 @@
   if (found == m_runs.end())
     return;
   Run& run = found->second;
-  // What failed is sent again by a later tick.
+  // A later tick sends a failed stop again.
   if (answer) {
     m_hooks.stopFailed({ key,
                          *answer,
@@ -255,15 +259,15 @@
     return;
   }
   run.stopAnsweredAt = now;
-  // Tells at once whether the run is over, so that its task can start
-  // elsewhere.
+  // The report tells at once whether the run has ended, so that its task can
+  // start elsewhere.
   refresh(now);
 }
 
 void
 WorkerLease::refresh(TimePoint now)
 {
-  if (m_state == LeaseState::Held && m_holdsUnderWay <= 1)
+  if (m_state == LeaseState::Held && m_reportRequestsInFlight <= 1)
     sendHold(Duration::zero(), now);
 }
 
@@ -274,14 +278,14 @@
       m_state == LeaseState::Ended)
     return;
   m_unansweredStarts.expire(now);
-  if (m_state == LeaseState::Silent && !m_runs.empty() && now >= lapsedBy())
-    lapse(now);
+  if (m_state == LeaseState::Silent && !m_runs.empty() && now >= runsExpireBy())
+    expireLease(now);
   tickRuns(now);
-  if (m_holdsUnderWay == 0 && now >= m_nextHoldAt) {
+  if (m_reportRequestsInFlight == 0 && now >= m_nextReportRequestAt) {
     sendHold(Duration::zero(), now);
-  } else if (mayOverfillNextLife()) {
-    // A report that waits for an end gets no answer if the worker restarts, and
-    // would delay the claim that fences late starts.
+  } else if (mayOvercommitNextIncarnation()) {
+    // A report request that waits for a run to end gets no answer if the worker
+    // restarts, which would delay the claim that fences late starts.
     refresh(now);
   }
 }
@@ -289,41 +293,45 @@
 bool
 WorkerLease::canStart(const Resources& resources) const
 {
-  return m_state == LeaseState::Held && m_unanswered == 0 && m_strays == 0 &&
-         !m_record.isDraining() && resources.fitsIn(freeRoom());
+  return m_state == LeaseState::Held && m_unansweredReports == 0 &&
+         m_orphanCount == 0 && !m_record.isDraining() &&
+         resources.fitsIn(freeRoom());
 }
 
 bool
 WorkerLease::isSafeToStart(const Resources& resources, TimePoint now) const
 {
   const bool isLeaseShort =
-    !m_runs.empty() && m_wantedUntil < now + m_settings.shortestLease;
-  const bool isRoomKept =
-    !mayHaveUnknownStarts(now) &&
-    (m_unansweredStarts.isEmpty() || resources.fitsIn(freeRoomInNextLife()));
-  return !isLeaseShort && (isRoomKept || isReportFresh(now));
+    !m_runs.empty() && m_wantedUntil < now + m_settings.minLeaseToStart;
+  const bool hasSpareCapacity =
+    !mayHaveEarlierHoldersStarts(now) &&
+    (m_unansweredStarts.isEmpty() ||
+     resources.fitsIn(freeCapacityInNextIncarnation()));
+  return !isLeaseShort && (hasSpareCapacity || isReportFresh(now));
 }
 
-/// Whether starts that an earlier holder sent may reach a later life of the
-/// worker, which takes a worker that keeps its id when it restarts.
+/// Whether starts that an earlier holder sent may reach a later incarnation of
+/// the worker. Only a worker that keeps its id when it restarts can receive
+/// them.
 bool
-WorkerLease::mayHaveUnknownStarts(TimePoint now) const
+WorkerLease::mayHaveEarlierHoldersStarts(TimePoint now) const
 {
-  return m_life.isBirthKnown() && now < m_unknownStartsUntil;
+  return m_incarnations.isBootTimeKnown() && now < m_earlierHoldersStartsUntil;
 }
 
 bool
 WorkerLease::isReportFresh(TimePoint now) const
 {
-  return now - m_reportAt <= m_settings.freshReportLimit &&
-         m_reportAt - m_reportAskedAt <= m_times->answerWait();
+  return now - m_reportAt <= m_settings.maxReportAge &&
+         m_reportAt - m_reportAskedAt <= m_answerTimes->answerTimeout();
 }
 
-/// The least free room of a worker after an undetected restart. Its new life
-/// has none of the listed runs, but may carry out any unanswered start, and may
-/// have been the one that answered the starts not listed yet.
+/// The least free capacity of the worker after an undetected restart. The new
+/// incarnation has none of the listed runs, but it may carry out any unanswered
+/// start, and it may be the one that answered the starts that no report has
+/// listed yet.
 Resources
-WorkerLease::freeRoomInNextLife() const
+WorkerLease::freeCapacityInNextIncarnation() const
 {
   Resources used = m_unansweredStarts.total();
   for (const auto& [key, run] : m_runs) {
@@ -333,20 +341,21 @@
   return m_record.capacity() - used;
 }
 
-/// Whether all starts that a next life may carry out exceed its capacity.
+/// Whether all starts that the next incarnation may carry out exceed its
+/// capacity.
 bool
-WorkerLease::mayOverfillNextLife() const
+WorkerLease::mayOvercommitNextIncarnation() const
 {
   return !m_unansweredStarts.isEmpty() &&
-         !Resources().fitsIn(freeRoomInNextLife());
+         !Resources().fitsIn(freeCapacityInNextIncarnation());
 }
 
 Resources
 WorkerLease::freeRoom() const
 {
-  if (m_state != LeaseState::Held || m_strays > 0)
+  if (m_state != LeaseState::Held || m_orphanCount > 0)
     return {};
-  return m_record.capacity() - m_used;
+  return m_record.capacity() - m_usedCapacity;
 }
 
 bool
@@ -357,11 +366,11 @@
 }
 
 TimePoint
-WorkerLease::lapsedBy() const
+WorkerLease::runsExpireBy() const
 {
   const auto clockError = std::chrono::duration_cast<Duration>(
     m_settings.leaseTime * (m_settings.slowestClock - 1));
-  return std::max(m_leasedUntil + clockError + m_settings.lapseMargin,
+  return std::max(m_leasedUntil + clockError + m_settings.expiryMargin,
                   m_earlierOrdersUntil);
 }
 
@@ -381,16 +390,16 @@
   order.token = m_token;
   order.acknowledged = m_acknowledged;
   order.wait = wait;
-  // A claim leaves the leases as they are: nobody may want these runs.
+  // A claim renews no lease: nobody may want the runs that are on the worker.
   if (m_state == LeaseState::Held && !m_runs.empty()) {
     const TimePoint end = leaseEnd(now);
     if (end > now)
       order.deadlineMs = deadline(end);
   }
-  ++m_holdsUnderWay;
-  m_hooks.sendHold(order, wait + m_times->answerWait());
+  ++m_reportRequestsInFlight;
+  m_hooks.sendHold(order, wait + m_answerTimes->answerTimeout());
   if (order.deadlineMs)
-    tellUnwanted(now);
+    reportUnwantedRenewals(now);
 }
 
 void
@@ -399,11 +408,11 @@
   run.stopSentAt = now;
   if (run.stopsSent++ == 0)
     run.firstStopAt = now;
-  m_hooks.sendStop({ m_token, key }, m_times->answerWait());
+  m_hooks.sendStop({ m_token, key }, m_answerTimes->answerTimeout());
 }
 
 void
-WorkerLease::holdFailed(OrderFailure failure, TimePoint now)
+WorkerLease::reportRequestFailed(OrderFailure failure, TimePoint now)
 {
   if (failure == OrderFailure::Fenced) {
     setState(LeaseState::Fenced);
@@ -411,22 +420,22 @@
   }
   if (failure == OrderFailure::OtherLife) {
     setState(LeaseState::Ended);
-    endAllLost();
+    endAllAsLost();
     return;
   }
   if (failure == OrderFailure::Unanswered)
-    m_times->unanswered(now);
-  if (m_holdsUnderWay > 0)
+    m_answerTimes->addUnanswered(now);
+  if (m_reportRequestsInFlight > 0)
     return;
-  ++m_unanswered;
-  m_nextHoldAt = now;
+  ++m_unansweredReports;
+  m_nextReportRequestAt = now;
   if (failure == OrderFailure::NotSent)
-    m_nextHoldAt = now + m_settings.unsentRetry;
-  if (m_unanswered >= m_settings.silentAfter) {
-    m_nextHoldAt = now + m_settings.silentRetry;
-    const bool hasStartedAgain = now < m_earlierOrdersUntil;
+    m_nextReportRequestAt = now + m_settings.unsentRetryDelay;
+  if (m_unansweredReports >= m_settings.unansweredReportLimit) {
+    m_nextReportRequestAt = now + m_settings.silentRetryDelay;
+    const bool hasRestarted = now < m_earlierOrdersUntil;
     if (m_state == LeaseState::Held ||
-        (m_state == LeaseState::Claiming && hasStartedAgain))
+        (m_state == LeaseState::Claiming && hasRestarted))
       setState(LeaseState::Silent);
   }
 }
@@ -436,14 +445,15 @@
                          TimePoint sent,
                          TimePoint now)
 {
-  const WorkerLife life = m_life.seenInAnswer(report.birth, sent, now);
-  if (life == WorkerLife::Next) {
-    beginNextLife(now);
+  const WorkerIncarnation incarnation =
+    m_incarnations.observeAnswer(report.birth, sent, now);
+  if (incarnation == WorkerIncarnation::Next) {
+    beginNextIncarnation(now);
     return;
   }
-  m_unanswered = 0;
-  if (life == WorkerLife::Earlier || isOutdated(report, sent)) {
-    goOn(now);
+  m_unansweredReports = 0;
+  if (incarnation == WorkerIncarnation::Earlier || isOutdated(report, sent)) {
+    requestNextReport(now);
     return;
   }
   if (m_state == LeaseState::Restarted)
@@ -452,56 +462,58 @@
   m_reportAt = now;
   m_clockOffsetMs = report.clockMs - toMilliseconds(now.time_since_epoch());
   m_reportAskedAt = std::max(m_reportAskedAt, sent);
-  applyEnds(report);
-  applyActive(report, now);
-  dropMissing(report, sent);
+  applyEndedRuns(report);
+  applyActiveRuns(report, now);
+  endMissingRuns(report, sent);
   if (m_state != LeaseState::Held)
-    noteClaimAnswered(now);
+    boundEarlierOrders(now);
   setState(LeaseState::Held);
   resendStarts(now);
-  goOn(now);
+  requestNextReport(now);
 }
 
-/// Orders to an earlier life do nothing from now on; what they may have done
-/// ends with the longest lease that the worker grants.
+/// Bounds the time in which orders to an earlier incarnation may have effects:
+/// from now on they do nothing, and runs that they may have started end with
+/// the longest lease that the worker grants.
 void
-WorkerLease::noteClaimAnswered(TimePoint now)
+WorkerLease::boundEarlierOrders(TimePoint now)
 {
   const auto lease = std::chrono::duration_cast<Duration>(
-    m_settings.longestLease * m_settings.slowestClock);
+    m_settings.maxGrantedLease * m_settings.slowestClock);
   m_earlierOrdersUntil =
-    std::min(m_earlierOrdersUntil, now + lease + m_settings.lapseMargin);
-  // The holder before may have renewed the lease just now.
+    std::min(m_earlierOrdersUntil, now + lease + m_settings.expiryMargin);
+  // The previous holder may have renewed the lease just now.
   m_leasedUntil = std::max(m_leasedUntil, now + m_settings.leaseTime);
 }
 
-/// All that was seen in the earlier life is over, and its clock and its count
-/// of ends mean nothing any more. Other runs stay in the book: the new life
-/// carries a start out that arrives before the next claim does.
+/// Ends all runs that the earlier incarnation has listed, and drops its clock
+/// and its count of ends, which no longer mean anything. The lease keeps its
+/// other runs: the new incarnation carries out a start that arrives before the
+/// next claim does.
 void
-WorkerLease::beginNextLife(TimePoint now)
+WorkerLease::beginNextIncarnation(TimePoint now)
 {
   m_acknowledged = 0;
-  m_unanswered = 0;
+  m_unansweredReports = 0;
   m_clockOffsetMs.reset();
   m_reportClockMs = 0;
   m_reportAt = {};
-  m_earlierOrdersUntil = now + m_settings.lateOrderLimit;
-  std::vector<RunKey> over;
+  m_earlierOrdersUntil = now + m_settings.maxOrderDelay;
+  std::vector<RunKey> gone;
   for (auto& [key, run] : m_runs) {
     if (run.isListed)
-      over.push_back(key);
-    run.isOfEarlierLife = true;
+      gone.push_back(key);
+    run.isOfEarlierIncarnation = true;
     run.startDeadlineMs = 0;
     run.stopAnsweredAt.reset();
   }
   setState(LeaseState::Restarted);
-  for (const RunKey& key : over)
-    endMissing(m_runs.find(key), RunEnd::Lost);
+  for (const RunKey& key : gone)
+    endMissingRun(m_runs.find(key), RunEnd::Lost);
 }
 
-/// Answers to two reports may overtake each other: an older one tells of runs
-/// whose end is known by now.
+/// Whether a newer report arrived before this one. Answers may overtake each
+/// other, and the older report lists runs whose end is already known.
 bool
 WorkerLease::isOutdated(const HoldReport& report, TimePoint sent) const
 {
@@ -509,20 +521,20 @@
          (report.clockMs == m_reportClockMs && sent < m_reportAt);
 }
 
-/// Asks for the next report unless one is under way.
+/// Requests the next report unless a request is in flight.
 void
-WorkerLease::goOn(TimePoint now)
+WorkerLease::requestNextReport(TimePoint now)
 {
-  m_nextHoldAt = now;
-  if (m_holdsUnderWay == 0)
-    sendHold(m_times->reportWait(now), now);
+  m_nextReportRequestAt = now;
+  if (m_reportRequestsInFlight == 0)
+    sendHold(m_answerTimes->reportWait(now), now);
 }
 
 void
-WorkerLease::applyEnds(const HoldReport& report)
+WorkerLease::applyEndedRuns(const HoldReport& report)
 {
   for (const EndedRun& ended : report.ended) {
-    m_unansweredStarts.noteRun(ended.key);
+    m_unansweredStarts.runReported(ended.key);
     if (ended.number <= m_acknowledged)
       continue;
     m_acknowledged = ended.number;
@@ -535,61 +547,63 @@
 }
 
 void
-WorkerLease::applyActive(const HoldReport& report, TimePoint now)
+WorkerLease::applyActiveRuns(const HoldReport& report, TimePoint now)
 {
   for (const ActiveRun& active : report.active) {
-    m_unansweredStarts.noteRun(active.key);
+    m_unansweredStarts.runReported(active.key);
     const auto [found, isNew] = m_runs.try_emplace(active.key);
     Run& run = found->second;
     if (isNew) {
-      run.isStray = true;
+      run.isOrphaned = true;
       run.since = now;
-      ++m_strays;
+      ++m_orphanCount;
     }
     if (!run.confirmedAt)
       run.confirmedAt = now;
     run.isListed = true;
-    run.isOfEarlierLife = false;
+    run.isOfEarlierIncarnation = false;
     if (run.state == RunState::Starting)
       run.state = RunState::Running;
     if (isNew)
       m_hooks.strayFound(active.key);
-    else if (!run.isStray)
+    else if (!run.isOrphaned)
       m_hooks.runActive(active.key, active.percent);
   }
 }
 
-/// Ends the runs of the book that the worker doesn't have and that can't begin
-/// there any more.
+/// Ends the runs that the worker doesn't have and that can no longer begin
+/// there.
 void
-WorkerLease::dropMissing(const HoldReport& report, TimePoint sent)
+WorkerLease::endMissingRuns(const HoldReport& report, TimePoint sent)
 {
   std::set<RunKey> present;
   for (const ActiveRun& active : report.active)
     present.insert(active.key);
-  std::vector<RunKey> over;
+  std::vector<RunKey> gone;
   for (const auto& [key, run] : m_runs) {
-    if (present.count(key) == 0 && isOver(run, report.clockMs, sent))
-      over.push_back(key);
+    if (present.count(key) == 0 && canNoLongerRun(run, report.clockMs, sent))
+      gone.push_back(key);
   }
-  for (const RunKey& key : over)
-    endMissing(m_runs.find(key), RunEnd::Lost);
+  for (const RunKey& key : gone)
+    endMissingRun(m_runs.find(key), RunEnd::Lost);
 }
 
 bool
-WorkerLease::isOver(const Run& run, std::int64_t clockMs, TimePoint sent) const
+WorkerLease::canNoLongerRun(const Run& run,
+                            std::int64_t clockMs,
+                            TimePoint sent) const
 {
-  // The new life has been claimed with a higher token, so that a start of
-  // before does nothing from then on.
-  if (run.isOfEarlierLife)
+  // The new incarnation has been claimed with a higher token, so that it
+  // ignores any start sent before.
+  if (run.isOfEarlierIncarnation)
     return true;
   if (run.confirmedAt && *run.confirmedAt <= sent)
     return true;
   if (run.stopAnsweredAt && *run.stopAnsweredAt <= sent)
     return true;
-  // A start is ignored from its deadline on. The margin covers a start that
-  // was carried out at that moment and isn't in this report.
-  const std::int64_t margin = toMilliseconds(m_settings.lapseMargin);
+  // The worker ignores a start from its deadline on. The margin covers a start
+  // that was carried out at the deadline and isn't in this report.
+  const std::int64_t margin = toMilliseconds(m_settings.expiryMargin);
   return run.startDeadlineMs > 0 && clockMs > run.startDeadlineMs + margin;
 }
 
@@ -597,11 +611,11 @@
 WorkerLease::endRun(Runs::iterator found, RunEnd end)
 {
   const RunKey key = found->first;
-  const bool isStray = found->second.isStray;
-  m_used = m_used - found->second.resources;
+  const bool isOrphaned = found->second.isOrphaned;
+  m_usedCapacity = m_usedCapacity - found->second.resources;
   m_runs.erase(found);
-  if (isStray) {
-    --m_strays;
+  if (isOrphaned) {
+    --m_orphanCount;
     m_hooks.strayEnded(key, end);
   } else {
     m_hooks.runEnded(key, end);
@@ -609,9 +623,9 @@
 }
 
 /// Ends a run whose end the worker hasn't listed, or reports its start as
-/// unresolved if a later life may still carry it out.
+/// unresolved if a later incarnation may still carry it out.
 void
-WorkerLease::endMissing(Runs::iterator found, RunEnd end)
+WorkerLease::endMissingRun(Runs::iterator found, RunEnd end)
 {
   const RunKey key = found->first;
   if (found->second.isStale) {
@@ -623,7 +637,7 @@
     endRun(found, end);
     return;
   }
-  m_used = m_used - found->second.resources;
+  m_usedCapacity = m_usedCapacity - found->second.resources;
   m_runs.erase(found);
   m_hooks.startUnresolved(key, *until);
 }
@@ -632,45 +646,45 @@
 WorkerLease::rejectRun(Runs::iterator found, OrderFailure failure)
 {
   const RunKey key = found->first;
-  m_used = m_used - found->second.resources;
+  m_usedCapacity = m_usedCapacity - found->second.resources;
   m_runs.erase(found);
   m_hooks.startRejected(key, failure);
 }
 
 void
-WorkerLease::endAllLost()
+WorkerLease::endAllAsLost()
 {
   while (!m_runs.empty())
     endRun(m_runs.begin(), RunEnd::Lost);
 }
 
 void
-WorkerLease::lapse(TimePoint now)
+WorkerLease::expireLease(TimePoint now)
 {
-  LeaseLapsed note{ {}, Duration::zero(), now - lapsedBy() };
+  LeaseLapsed note{ {}, Duration::zero(), now - runsExpireBy() };
   if (m_reportAt != TimePoint())
     note.sinceReport = now - m_reportAt;
   for (const auto& [key, run] : m_runs)
     note.runs.push_back(key);
   m_hooks.lapsed(note);
   while (!m_runs.empty())
-    endMissing(m_runs.begin(), RunEnd::Lapsed);
+    endMissingRun(m_runs.begin(), RunEnd::Lapsed);
 }
 
-/// Tells once for each run that is to end and that a renewal lets go on. A
-/// renewal beside the first stop is usual; what a worker has stopped doesn't go
-/// on.
+/// Reports, once per run, that a renewal extends a run that is to end. A
+/// renewal at the same time as the first stop is usual and isn't reported; nor
+/// is a run whose stop was answered, because it doesn't continue.
 void
-WorkerLease::tellUnwanted(TimePoint now)
+WorkerLease::reportUnwantedRenewals(TimePoint now)
 {
   for (auto& [key, run] : m_runs) {
     const bool isStopLate = run.stopsSent > 1;
-    if (run.isRenewalTold || run.stopAnsweredAt ||
-        (!isStopLate && !run.isStray))
+    if (run.isRenewalReported || run.stopAnsweredAt ||
+        (!isStopLate && !run.isOrphaned))
       continue;
-    run.isRenewalTold = true;
+    run.isRenewalReported = true;
     const TimePoint since = isStopLate ? run.firstStopAt : run.since;
-    m_hooks.unwantedRenewal({ key, run.isStray, now - since });
+    m_hooks.unwantedRenewal({ key, run.isOrphaned, now - since });
   }
 }
 
@@ -678,26 +692,28 @@
 WorkerLease::tickRuns(TimePoint now)
 {
   for (auto& [key, run] : m_runs) {
-    if (run.isStray && run.state != RunState::Stopping &&
-        now - run.since >= m_settings.strayLimit) {
+    if (run.isOrphaned && run.state != RunState::Stopping &&
+        now - run.since >= m_settings.orphanTimeout) {
       run.state = RunState::Stopping;
       m_hooks.strayStopped({ key, now - run.since });
       sendStop(key, run, now);
     }
     if (run.state == RunState::Stopping && !run.stopAnsweredAt &&
-        now - *run.stopSentAt >= m_times->answerWait())
+        now - *run.stopSentAt >= m_answerTimes->answerTimeout())
       sendStop(key, run, now);
   }
 }
 
-/// The worker has one lease for all its runs, so it may last no longer than
-/// each of them is wanted.
+/// Returns the end of the next lease. The worker has one lease for all its
+/// runs, so the lease lasts no longer than the time for which each of them is
+/// wanted.
 TimePoint
 WorkerLease::leaseEnd(TimePoint now)
 {
   m_wantedUntil = TimePoint::max();
   for (auto& [key, run] : m_runs) {
-    const auto wanted = run.isStray ? std::nullopt : m_hooks.wantedUntil(key);
+    const auto wanted =
+      run.isOrphaned ? std::nullopt : m_hooks.wantedUntil(key);
     run.wantedUntil = std::max(run.wantedUntil, wanted.value_or(TimePoint{}));
     m_wantedUntil = std::min(m_wantedUntil, run.wantedUntil);
   }
--- a/src/libworkers/workerlease.h
+++ b/src/libworkers/workerlease.h
@@ -18,100 +18,112 @@
 
 namespace cowslippin {
 
-/// What this daemon can do with a worker.
+/// State of this daemon's lease on a worker.
 enum class LeaseState
 {
-  /// An order with a new token is under way; what runs there isn't known.
+  /// A claim with a new token is in progress. Which runs are on the worker
+  /// isn't known yet.
   Claiming,
-  /// This daemon alone may start runs there and knows all that runs.
+  /// Only this daemon may start runs on the worker, and it knows all runs
+  /// there.
   Held,
-  /// The worker hasn't answered for a while.
+  /// Several consecutive report requests were not answered.
   Silent,
-  /// Another daemon has taken it with a higher token.
+  /// Another daemon has claimed the worker with a higher token.
   Fenced,
-  /// The worker has started again and knows nothing of before. It has to be
-  /// claimed with a higher token, so that orders which are still on their way
-  /// to its earlier life do nothing.
+  /// The worker has restarted and has no record of earlier tokens. It has to be
+  /// claimed with a higher token, so that orders still in transit to its
+  /// earlier incarnation have no effect.
   Restarted,
-  /// Another worker answers at its address.
+  /// Another worker answers at the address.
   Ended,
 };
 
 const char*
 toString(LeaseState state);
 
-/// One worker under this daemon's lease: its token, the runs that count against
-/// its capacity, and the orders under way. It does no input or output and reads
-/// no clock: answers and times go in, orders and ends go out by hooks.
+/// This daemon's lease on one worker: the fencing token, the runs that count
+/// against the worker's capacity, and the orders in flight. The class does no
+/// input or output and reads no clock: answers and times are passed in, orders
+/// and events go out through `Hooks`.
 ///
-/// A run counts against the capacity from the moment its start is sent until
-/// the worker has listed its end, or until it can't be running any more.
+/// A run is the lease's own if this daemon started or adopted it. A run that
+/// only the worker's reports list is orphaned until it is adopted or stopped. A
+/// run counts against the capacity from the time its start is sent until the
+/// worker has listed its end, or until it can no longer be in progress.
 class WorkerLease
 {
 public:
   struct Settings
   {
-    /// How long a run goes on without a renewal, unless `wantedUntil` ends it
-    /// sooner.
+    /// How long runs continue without a renewal, unless `wantedUntil` ends the
+    /// lease sooner.
     Duration leaseTime = std::chrono::milliseconds(750);
-    /// With less of a lease nothing is started: the start would be rejected as
-    /// late, or the run would be lost before it is done.
-    Duration shortestLease = std::chrono::milliseconds(300);
-    /// The wait before an order that could not be sent is tried again.
-    Duration unsentRetry = std::chrono::milliseconds(90);
-    /// Unanswered reports in a row after which the worker counts as silent.
-    int silentAfter = 3;
-    /// The wait between reports asked of a silent worker.
-    Duration silentRetry = std::chrono::milliseconds(250);
-    /// How long a run that nobody has asked for is left alone, so that the
-    /// daemon whose task it is can ask for it.
-    Duration strayLimit = std::chrono::milliseconds(200);
-    /// How much slower a worker's clock may be, as a factor.
+    /// Least remaining lease with which a run is started. With less, the worker
+    /// would reject the start as late, or the run would expire before it is
+    /// done.
+    Duration minLeaseToStart = std::chrono::milliseconds(300);
+    /// Delay before an order that could not be sent is sent again.
+    Duration unsentRetryDelay = std::chrono::milliseconds(90);
+    /// Number of consecutive unanswered report requests after which the worker
+    /// counts as silent.
+    int unansweredReportLimit = 3;
+    /// Delay before the next report request to a silent worker.
+    Duration silentRetryDelay = std::chrono::milliseconds(250);
+    /// How long an orphaned run is left running, so that the daemon that owns
+    /// its task can ask for it.
+    Duration orphanTimeout = std::chrono::milliseconds(200);
+    /// Factor by which a worker's clock may be slower than this daemon's.
     double slowestClock = 1.02;
-    /// Added to a lease before its runs are taken as gone.
-    Duration lapseMargin = std::chrono::milliseconds(60);
-    /// The longest lease that a worker grants, whatever deadline an order has.
-    Duration longestLease = std::chrono::milliseconds(1000);
+    /// Added to the end of a lease before its runs count as ended.
+    Duration expiryMargin = std::chrono::milliseconds(60);
+    /// Longest lease that a worker grants, whatever deadline an order has.
+    Duration maxGrantedLease = std::chrono::milliseconds(1000);
     /// How long after it was sent an unanswered start may still be carried out.
-    Duration lateOrderLimit = std::chrono::seconds(12);
-    /// How long after its arrival a report that was answered promptly is taken
-    /// to be of the present life.
-    Duration freshReportLimit = std::chrono::milliseconds(5);
+    Duration maxOrderDelay = std::chrono::seconds(12);
+    /// How long after its arrival a promptly answered report is taken to
+    /// describe the worker's current incarnation.
+    Duration maxReportAge = std::chrono::milliseconds(5);
   };
 
-  /// None may be empty. They are called from within the functions below and
-  /// must not call back into the lease.
+  /// No hook may be empty. Hooks are called from within the member functions
+  /// below and must not call back into the lease.
   struct Hooks
   {
+    /// These three send an order to the worker. The caller passes the answer,
+    /// or `OrderFailure::Unanswered` after the timeout, to `holdAnswered`,
+    /// `startAnswered` or `stopAnswered`.
     std::function<void(const HoldOrder&, Duration timeout)> sendHold;
     std::function<void(const StartOrder&, Duration timeout)> sendStart;
     std::function<void(const StopOrder&, Duration timeout)> sendStop;
-    /// A run of the book has ended and its room is free.
+    /// An own run has ended and its capacity is free.
     std::function<void(const RunKey&, RunEnd)> runEnded;
-    /// A run of the book isn't at work and its room is free, but its start had
-    /// no answer, and the worker may carry it out before `until` if it restarts
-    /// under its id: a later life has no record of fencing tokens and stops.
-    /// Called instead of `runEnded`.
+    /// An own run isn't in progress and its capacity is free, but its start was
+    /// not answered. If the worker restarts under its id, the new incarnation
+    /// may carry the start out before `until`, because it has no record of
+    /// earlier fencing tokens and stops. Called instead of `runEnded`.
     std::function<void(const RunKey&, TimePoint until)> startUnresolved;
-    /// Whether a start without an answer is to be sent again instead of being
-    /// stopped. The copies have one number, so that a life runs only one of
-    /// them at a time; a later life may run another after the first has ended.
+    /// Whether an unanswered start is to be sent again instead of being
+    /// stopped. All copies have the same run number, so that one incarnation of
+    /// the worker runs only one of them at a time; a later incarnation may run
+    /// another copy after the first has ended.
     std::function<bool(const RunKey&)> mayResend;
-    /// A start was surely not carried out; its room is free.
+    /// The worker did not carry out a start and will not do so; the capacity of
+    /// the run is free.
     std::function<void(const RunKey&, OrderFailure)> startRejected;
-    /// A run of the book is at work.
+    /// An own run is in progress, with this percentage of its work done.
     std::function<void(const RunKey&, int percent)> runActive;
-    /// A run was found that isn't in the book.
+    /// A report lists a run that isn't the lease's own.
     std::function<void(const RunKey&)> strayFound;
-    /// A run that isn't in the book has ended.
+    /// A run that isn't the lease's own has ended.
     std::function<void(const RunKey&, RunEnd)> strayEnded;
     std::function<void(const StrayStopped&)> strayStopped;
     std::function<void(const StopFailed&)> stopFailed;
     std::function<void(const UnwantedRenewal&)> unwantedRenewal;
     std::function<void(const LeaseLapsed&)> lapsed;
     std::function<void(LeaseState)> stateChanged;
-    /// Until when a run may go on by what is known now of who wants it; nothing
-    /// if nobody does any more, so that what was said last holds.
+    /// Until when a run is wanted, as far as is known now. Nothing if nobody
+    /// wants the run any more; the time returned last then still applies.
     std::function<std::optional<TimePoint>(const RunKey&)> wantedUntil;
   };
 
@@ -122,30 +134,33 @@
               std::shared_ptr<AnswerTimes> times,
               TimePoint now);
 
-  /// Takes the worker with a token, also again after it was fenced or has
-  /// started again. The book stays; the worker's report is compared with it.
+  /// Claims the worker with a fencing token, also after it was fenced or has
+  /// restarted. The lease keeps its runs and compares them with the worker's
+  /// report.
   void claim(FencingToken token, TimePoint now);
 
-  /// Starts a run. Only when `canStart` allows it.
+  /// Starts a run. Must only be called if `canStart` allows it.
   void start(const RunKey& key,
              const Resources& resources,
              const std::string& spec,
              TimePoint now);
 
-  /// Stops a run of the book. Its end comes by a hook.
+  /// Stops a run. A hook reports its end.
   void stop(const RunKey& key, TimePoint now);
 
-  /// Asks for a report that is answered at once, beside one that waits for an
-  /// end, if none is under way.
+  /// Requests a report that is answered at once, in addition to one that waits
+  /// for a run to end. Does nothing while such a request is in flight.
   void refresh(TimePoint now);
 
-  /// Takes a stray run of this task into the book. Nothing if there is none.
-  /// Renewals, which strays hold up, go on with `refresh`.
+  /// Makes an orphaned run of this task the lease's own and returns its key, or
+  /// nothing if there is none. While a worker has orphaned runs, its lease
+  /// isn't extended; after the adoption, `refresh` sends the next renewal at
+  /// once.
   std::optional<RunKey> adopt(const std::string& task,
                               const Resources& resources);
 
-  /// What answers an order of an earlier claim is ignored: the worker may have
-  /// got runs since that only the answer to the new claim tells of.
+  /// Answers to orders of an earlier claim are ignored: since then the worker
+  /// may have received runs that only the answer to the new claim lists.
   void holdAnswered(const SentHold& sent,
                     const HoldAnswer& answer,
                     TimePoint now);
@@ -156,52 +171,56 @@
                     const OrderAnswer& answer,
                     TimePoint now);
 
-  /// Lets time pass; to be called every 20 ms or so.
+  /// Advances time; to be called about every 20 ms.
   void tick(TimePoint now);
 
-  /// The entry of the platform's list. One of an earlier life is ignored.
+  /// Applies an entry of the platform's worker list. An entry of an earlier
+  /// incarnation is ignored.
   void setRecord(const WorkerRecord& record, TimePoint now);
 
+  /// Whether these resources are free on a worker that is held, answers, isn't
+  /// draining and has no orphaned runs.
   bool canStart(const Resources& resources) const;
   /// Whether a start of this size keeps the worker within its capacity even
   /// after an undetected restart, when earlier unanswered starts may still be
-  /// carried out. Without room for all of them, or while there may be some of
-  /// an earlier holder, it takes a prompt report that
-  /// arrived within `freshReportLimit`, for example one requested by `refresh`.
-  /// Neither is it safe where another run keeps the lease short. Doesn't
-  /// include the conditions of `canStart`.
+  /// carried out. If there isn't room for all of them, or while starts of an
+  /// earlier holder may still arrive, the start is safe only within
+  /// `maxReportAge` after the arrival of a promptly answered report, for
+  /// example one requested by `refresh`. It isn't safe while another run keeps
+  /// the lease short. The conditions of `canStart` are not included.
   bool isSafeToStart(const Resources& resources, TimePoint now) const;
-  /// Whether a report that was answered promptly has arrived within
-  /// `freshReportLimit`.
+  /// Whether a promptly answered report has arrived within `maxReportAge`.
   bool isReportFresh(TimePoint now) const;
-  /// Until when a copy of this start may still be carried out, if one may.
+  /// Until when a copy of this start may still be carried out; nothing if no
+  /// copy can be.
   std::optional<TimePoint> unansweredUntil(const RunKey& key) const
   {
     return m_unansweredStarts.expiry(key);
   }
-  /// Starts that may still be carried out, if only by a later life.
+  /// Starts that the current incarnation of the worker or a later one may still
+  /// carry out.
   std::vector<UnansweredStart> unansweredStarts() const
   {
     return m_unansweredStarts.all();
   }
-  /// Capacity that nothing counts against; nothing while that isn't known.
+  /// Capacity that no run counts against; zero while that isn't known.
   Resources freeRoom() const;
   bool isIdle() const { return m_runs.empty(); }
-  bool hasStrays() const { return m_strays > 0; }
+  bool hasStrays() const { return m_orphanCount > 0; }
   bool isRunning(const std::string& task) const;
 
   LeaseState state() const { return m_state; }
   const WorkerRecord& record() const { return m_record; }
   FencingToken token() const { return m_token; }
   std::size_t runCount() const { return m_runs.size(); }
-  /// Until when its runs may go on by the leases that were granted, this
-  /// daemon's clock.
+  /// Until when the worker's runs may continue under the leases granted so far,
+  /// by this daemon's clock.
   TimePoint leasedUntil() const { return m_leasedUntil; }
-  /// When the newest report was asked for: it tells of all that another daemon
-  /// had begun here before.
+  /// When the newest report was requested. The report lists everything that
+  /// another daemon had started on the worker before that time.
   TimePoint reportAskedAt() const { return m_reportAskedAt; }
-  /// When every run was surely over if the worker had not answered since.
-  TimePoint lapsedBy() const;
+  /// Time by which every run has ended if the worker doesn't answer any more.
+  TimePoint runsExpireBy() const;
 
 private:
   enum class RunState
@@ -213,35 +232,41 @@
   struct Run
   {
     Resources resources;
-    /// Of the order that started it.
+    /// Token of the order that started the run.
     FencingToken token = 0;
     RunState state = RunState::Starting;
-    /// What to send again; only until the worker has answered.
+    /// Sent again with each copy of the start; kept only until the worker has
+    /// answered.
     std::string spec;
     unsigned startsSent = 0;
-    /// Its start is to be sent again unless the next report shows the run.
+    /// The start is sent again unless the next report lists the run.
     bool isResendDue = false;
-    /// The worker has refused its number, having had this or a later run.
+    /// The worker has refused the run number because it has had this run or a
+    /// later one.
     bool isStale = false;
-    /// Nobody has asked for it; its size isn't known.
-    bool isStray = false;
+    /// The run is orphaned: this daemon neither started nor adopted it, and
+    /// doesn't know its size.
+    bool isOrphaned = false;
+    /// When the start was last sent, or when the orphaned run was found.
     TimePoint since{};
-    /// On the worker's clock; a start is ignored from then on.
+    /// By the worker's clock; the worker ignores the start from this time on.
     std::int64_t startDeadlineMs = 0;
-    /// A report of the present life of the worker has shown it. The answer to
-    /// its start doesn't tell by which life it was given.
+    /// A report of the worker's current incarnation has listed the run. The
+    /// answer to the start doesn't tell which incarnation gave it.
     bool isListed = false;
-    /// Its start was sent before the present life was known.
-    bool isOfEarlierLife = false;
+    /// The start was sent before the current incarnation was known.
+    bool isOfEarlierIncarnation = false;
     TimePoint firstStopAt{};
     unsigned stopsSent = 0;
-    /// Whether it was told that the lease was renewed although it is to end.
-    bool isRenewalTold = false;
+    /// Whether `unwantedRenewal` was called for the run.
+    bool isRenewalReported = false;
+    /// When an answer or a report first showed that the worker has the run.
     std::optional<TimePoint> confirmedAt;
     std::optional<TimePoint> stopSentAt;
     std::optional<TimePoint> stopAnsweredAt;
-    /// No lease may let it go on for longer. A stray has none of its own: who
-    /// wanted it may have started its task elsewhere.
+    /// No lease may let the run continue for longer. Stays zero for an orphaned
+    /// run, so that the lease isn't renewed: whoever wanted the run may have
+    /// started its task elsewhere.
     TimePoint wantedUntil{};
   };
   using Runs = std::map<RunKey, Run>;
@@ -253,25 +278,27 @@
   void startRefused(Runs::iterator found, OrderFailure failure, TimePoint now);
   bool canResend(const RunKey& key) const;
   void resendStarts(TimePoint now);
-  void holdFailed(OrderFailure failure, TimePoint now);
-  void beginNextLife(TimePoint now);
-  void noteClaimAnswered(TimePoint now);
+  void reportRequestFailed(OrderFailure failure, TimePoint now);
+  void beginNextIncarnation(TimePoint now);
+  void boundEarlierOrders(TimePoint now);
   bool isOutdated(const HoldReport& report, TimePoint sent) const;
-  void goOn(TimePoint now);
+  void requestNextReport(TimePoint now);
   void applyReport(const HoldReport& report, TimePoint sent, TimePoint now);
-  void applyEnds(const HoldReport& report);
-  void applyActive(const HoldReport& report, TimePoint now);
-  void dropMissing(const HoldReport& report, TimePoint sent);
-  bool isOver(const Run& run, std::int64_t clockMs, TimePoint sent) const;
+  void applyEndedRuns(const HoldReport& report);
+  void applyActiveRuns(const HoldReport& report, TimePoint now);
+  void endMissingRuns(const HoldReport& report, TimePoint sent);
+  bool canNoLongerRun(const Run& run,
+                      std::int64_t clockMs,
+                      TimePoint sent) const;
   void endRun(Runs::iterator found, RunEnd end);
-  void endMissing(Runs::iterator found, RunEnd end);
+  void endMissingRun(Runs::iterator found, RunEnd end);
   void rejectRun(Runs::iterator found, OrderFailure failure);
-  void endAllLost();
-  bool mayHaveUnknownStarts(TimePoint now) const;
-  Resources freeRoomInNextLife() const;
-  bool mayOverfillNextLife() const;
-  void lapse(TimePoint now);
-  void tellUnwanted(TimePoint now);
+  void endAllAsLost();
+  bool mayHaveEarlierHoldersStarts(TimePoint now) const;
+  Resources freeCapacityInNextIncarnation() const;
+  bool mayOvercommitNextIncarnation() const;
+  void expireLease(TimePoint now);
+  void reportUnwantedRenewals(TimePoint now);
   void tickRuns(TimePoint now);
   TimePoint leaseEnd(TimePoint now);
   std::int64_t deadline(TimePoint leaseEnd);
@@ -279,33 +306,36 @@
   WorkerRecord m_record;
   const Settings m_settings;
   const Hooks m_hooks;
-  const std::shared_ptr<AnswerTimes> m_times;
-  LifeTracker m_life;
+  const std::shared_ptr<AnswerTimes> m_answerTimes;
+  IncarnationTracker m_incarnations;
   LeaseState m_state = LeaseState::Claiming;
   FencingToken m_token = 0;
   Runs m_runs;
   UnansweredStarts m_unansweredStarts;
   /// Until when a start of an earlier holder may still be carried out.
-  TimePoint m_unknownStartsUntil{};
-  Resources m_used;
-  std::size_t m_strays = 0;
+  TimePoint m_earlierHoldersStartsUntil{};
+  Resources m_usedCapacity;
+  std::size_t m_orphanCount = 0;
+  /// Sequence number of the last end that was applied; the next report request
+  /// acknowledges it.
   std::uint64_t m_acknowledged = 0;
-  /// The worker's clock less this daemon's, in milliseconds.
+  /// The worker's clock minus this daemon's, in milliseconds.
   std::optional<std::int64_t> m_clockOffsetMs;
-  /// Reports asked for under the present token and not answered. One asked
-  /// for after a stop goes beside that which waits for an end.
-  unsigned m_holdsUnderWay = 0;
-  /// The newest report: the worker's clock, and when it arrived.
+  /// Unanswered report requests under the current token. A request sent after a
+  /// stop runs beside the one that waits for a run to end.
+  unsigned m_reportRequestsInFlight = 0;
+  /// The worker's clock in the newest report, and when that report arrived.
   std::int64_t m_reportClockMs = 0;
   TimePoint m_reportAt{};
-  int m_unanswered = 0;
-  TimePoint m_nextHoldAt{};
+  int m_unansweredReports = 0;
+  TimePoint m_nextReportRequestAt{};
   TimePoint m_reportAskedAt{};
-  /// The latest deadline that an order has carried, on this daemon's clock.
+  /// Latest deadline that an order has carried, by this daemon's clock.
   TimePoint m_leasedUntil{};
-  /// The bound on the lease by who wants the runs, as of the last renewal.
+  /// Earliest time at which a run stops being wanted, as of the last renewal;
+  /// bounds the lease.
   TimePoint m_wantedUntil = TimePoint::max();
-  /// Orders to an earlier life may have effect up to then.
+  /// Until when orders to an earlier incarnation may have effects.
   TimePoint m_earlierOrdersUntil{};
 };
 
--- a/src/libworkers/workerorder.h
+++ b/src/libworkers/workerorder.h
@@ -11,31 +11,30 @@
 
 namespace cowslippin {
 
-/// The larger one wins; a worker ignores orders with a lower one than it has
-/// seen. 0 is none.
+/// A worker ignores orders with a lower token than the highest that it has
+/// seen. 0 is no token.
 using FencingToken = std::uint64_t;
 
-/// Renews the lease of all that runs on a worker and asks what became of it.
+/// Renews the lease of all runs on a worker and requests a report on them.
 struct HoldOrder
 {
   FencingToken token = 0;
-  /// All that runs ends at this time of the worker's clock unless it is
-  /// renewed; without it the lease stays as it is.
+  /// All runs end at this time of the worker's clock unless the lease is
+  /// renewed. Without a deadline the lease stays as it is.
   std::optional<std::int64_t> deadlineMs;
-  /// Ends up to this number need not be told again.
+  /// Ends up to this sequence number need not be reported again.
   std::uint64_t acknowledged = 0;
-  /// How long the worker may wait for an end before it answers.
+  /// How long the worker may wait for a run to end before it answers.
   Duration wait = Duration::zero();
 };
 
-/// Which order of holding a worker's answer belongs to.
+/// Identifies the hold order that a worker's answer belongs to.
 struct SentHold
 {
   FencingToken token = 0;
   TimePoint at{};
 };
 
-/// Starts one run.
 struct StartOrder
 {
   FencingToken token = 0;
@@ -44,34 +43,34 @@
   std::int64_t deadlineMs = 0;
 };
 
-/// Stops one run, or keeps it from ever starting.
+/// Stops a run, or prevents it from ever starting.
 struct StopOrder
 {
   FencingToken token = 0;
   RunKey key;
 };
 
-/// Why an order was not carried out. Nothing was done in any of these cases
-/// but `Unanswered`.
+/// Why an order was not carried out. Except for `Unanswered`, the worker has
+/// done nothing.
 enum class OrderFailure
 {
-  /// Nothing is known of it.
+  /// No answer was received; the order may have been carried out.
   Unanswered,
-  /// No connection could be had, so that the order was not sent.
+  /// No connection could be made, so that the order was not sent.
   NotSent,
-  /// Another daemon has taken the worker with a higher token.
+  /// Another daemon has claimed the worker with a higher token.
   Fenced,
-  /// The run's number is not higher than one that was stopped or has ended.
+  /// The run number is not higher than one that was stopped or has ended.
   StaleRun,
   /// The deadline has passed on the worker's clock.
   Late,
-  /// The worker has no room.
+  /// The worker has no free capacity.
   NoRoom,
-  /// The worker is unhealthy.
   Unhealthy,
-  /// Another life of the worker answers at this address.
+  /// Another incarnation of the worker, or another worker, answers at this
+  /// address.
   OtherLife,
-  /// The worker finds the order wrong.
+  /// The worker rejects the order as invalid.
   Invalid,
 };
 
@@ -103,7 +102,7 @@
 
 using HoldAnswer = std::variant<HoldReport, OrderFailure>;
 
-/// Nothing if a start or a stop was carried out.
+/// Empty if a start or a stop was carried out.
 using OrderAnswer = std::optional<OrderFailure>;
 
 } // namespace cowslippin
--- a/src/libworkers/workerrecord.h
+++ b/src/libworkers/workerrecord.h
@@ -12,7 +12,7 @@
 
 namespace cowslippin {
 
-/// What the platform's list tells of a worker.
+/// A worker's entry in the platform's worker list.
 class WorkerRecord
 {
 public:
@@ -24,9 +24,9 @@
     Address address;
     ZoneName zone;
     Resources capacity;
-    /// Its kind and its rack.
+    /// The worker's kind and its rack.
     std::vector<std::string> labels;
-    /// It is leaving and must be given nothing new.
+    /// The worker is being removed and must be given no new runs.
     bool isDraining = false;
   };
 
--- a/tests/workers/answertimes_test.cpp
+++ b/tests/workers/answertimes_test.cpp
@@ -17,8 +17,8 @@
 
   void answerAll(Duration time)
   {
-    for (unsigned i = 0; i < settings.enoughAnswers; ++i)
-      times.answered(time);
+    for (unsigned i = 0; i < settings.minAnswers; ++i)
+      times.addAnswerTime(time);
   }
 
   const AnswerTimes::Settings settings;
@@ -26,35 +26,35 @@
   TimePoint now{ std::chrono::seconds(100) };
 };
 
-TEST_F(AnswerTimesTest, WaitsLongUntilEnoughAnswersWereSeen)
+TEST_F(AnswerTimesTest, UsesTheMaximumTimeoutUntilEnoughAnswersAreReceived)
 {
-  EXPECT_EQ(times.answerWait(), settings.longestWait);
+  EXPECT_EQ(times.answerTimeout(), settings.maxAnswerTimeout);
   answerAll(milliseconds(2));
-  EXPECT_EQ(times.answerWait(), settings.shortestWait);
+  EXPECT_EQ(times.answerTimeout(), settings.minAnswerTimeout);
 }
 
-TEST_F(AnswerTimesTest, WaitsLongerWhereAnswersTakeLongOrVary)
+TEST_F(AnswerTimesTest, TimeoutFollowsAnswerTimesAndTheirDeviation)
 {
   answerAll(milliseconds(40));
-  EXPECT_GE(times.answerWait(), milliseconds(40));
+  EXPECT_GE(times.answerTimeout(), milliseconds(40));
   answerAll(milliseconds(2));
-  times.answered(milliseconds(30));
-  EXPECT_GE(times.answerWait(), milliseconds(50))
-    << "one late answer shows that others may come late";
+  times.addAnswerTime(milliseconds(30));
+  EXPECT_GE(times.answerTimeout(), milliseconds(50))
+    << "after one late answer others may be late too";
   for (int i = 0; i < 5; ++i)
     answerAll(milliseconds(500));
-  EXPECT_EQ(times.answerWait(), settings.longestWait);
+  EXPECT_EQ(times.answerTimeout(), settings.maxAnswerTimeout);
 }
 
-TEST_F(AnswerTimesTest, AsksForReportsMoreOftenWhileOrdersAreLost)
+TEST_F(AnswerTimesTest, RequestsReportsMoreOftenWhileOrdersAreLost)
 {
-  times.unanswered(now);
-  times.unanswered(now);
+  times.addUnanswered(now);
+  times.addUnanswered(now);
   EXPECT_EQ(times.reportWait(now), settings.reportWait)
-    << "one worker that falls silent is no loss of orders";
+    << "one silent worker doesn't mean that orders are lost";
   now += milliseconds(100);
-  times.unanswered(now);
-  times.unanswered(now);
+  times.addUnanswered(now);
+  times.addUnanswered(now);
   EXPECT_EQ(times.reportWait(now), settings.shortReportWait);
   EXPECT_EQ(times.reportWait(now + std::chrono::seconds(2)),
             settings.reportWait);
--- a/tests/workers/leasefixture.h
+++ b/tests/workers/leasefixture.h
@@ -13,20 +13,21 @@
 
 namespace cowslippin::testing {
 
-/// What becomes of an order on its way.
+/// What happens to an order in transit.
 enum class Delivery
 {
   Normal,
-  /// Nothing arrives and nothing is answered.
+  /// The order is lost, so that it isn't answered.
   Lost,
-  /// It is carried out and its answer is lost.
+  /// The order is carried out and its answer is lost.
   AnswerLost,
-  /// It isn't answered and is carried out when the test says so.
+  /// The order isn't answered, and is carried out when the test runs it from
+  /// `lateOrders`.
   Late,
 };
 
-/// A lease on a worker in memory, on a virtual clock. Orders wait until they
-/// are delivered.
+/// A lease on an in-memory worker with a virtual clock. Orders wait in a queue
+/// until they are delivered.
 class LeaseFixture
 {
 public:
@@ -52,8 +53,9 @@
     return WorkerRecord(fields);
   }
 
-  /// Delivers the orders that wait, and those that this brings forth up to a
-  /// bound, as the worker answers a report without an end only after a wait.
+  /// Delivers the queued orders and those that they cause, up to `count`: a
+  /// worker without a new end answers a report request only after a wait, so
+  /// there is always another request.
   void deliver(Delivery delivery = Delivery::Normal, std::size_t count = 8)
   {
     while (!orders.empty() && count-- > 0) {
@@ -74,8 +76,8 @@
     lease.start(key, Resources(cpu, 10, 0), "spec", now);
   }
 
-  /// The worker starts again under its id. It knows nothing of before, and its
-  /// clock begins anew.
+  /// Restarts the worker under its id. The new incarnation has no record of
+  /// earlier orders, and its clock restarts.
   void restart(std::int64_t birthMs)
   {
     const auto sinceStart =
@@ -84,7 +86,7 @@
     worker = FakeWorker(-sinceStart.count(), WorkerBirth(birthMs));
   }
 
-  void pass(int milliseconds)
+  void advance(int milliseconds)
   {
     now += std::chrono::milliseconds(milliseconds);
     lease.tick(now);
@@ -93,26 +95,27 @@
   TimePoint now{ std::chrono::seconds(1000) };
   FakeWorker worker{ 50000, WorkerBirth(1) };
   std::deque<std::function<void(Delivery)>> orders;
-  /// Orders that were delivered `Late`.
-  std::vector<std::function<void()>> late;
+  /// Orders that were delivered as `Late`.
+  std::vector<std::function<void()>> lateOrders;
   std::vector<std::pair<RunKey, RunEnd>> ended;
   std::vector<std::pair<RunKey, OrderFailure>> rejected;
-  /// Whether starts without an answer are sent again.
+  /// Whether unanswered starts are sent again.
   bool mayResend = false;
-  /// Starts that may still be carried out by a later life.
+  /// Starts that a later incarnation may still carry out.
   std::vector<RunKey> unresolved;
-  std::vector<RunKey> strays;
-  std::vector<std::pair<RunKey, RunEnd>> straysEnded;
-  std::vector<RunKey> straysStopped;
-  std::vector<StopFailed> stopsFailed;
+  std::vector<RunKey> orphans;
+  std::vector<std::pair<RunKey, RunEnd>> endedOrphans;
+  std::vector<RunKey> stoppedOrphans;
+  std::vector<StopFailed> failedStops;
   std::vector<UnwantedRenewal> unwantedRenewals;
-  std::vector<LeaseLapsed> lapses;
+  std::vector<LeaseLapsed> expiries;
   std::vector<LeaseState> states;
-  /// Of each run; for good if it isn't here.
+  /// Until when each run is wanted; without limit for a run that isn't listed
+  /// here.
   std::map<RunKey, TimePoint> wantedUntil;
   /// Runs that nobody wants any more.
   std::set<RunKey> unwanted;
-  /// Whether no stop arrives, however it is delivered.
+  /// Whether every stop is lost, however it is delivered.
   bool isStopLost = false;
   std::shared_ptr<AnswerTimes> times;
   WorkerLease lease;
@@ -129,7 +132,7 @@
         if (delivery == Delivery::Normal)
           answer = carryOut();
         else
-          dispose(delivery, carryOut);
+          carryOutUnanswered(delivery, carryOut);
         lease.holdAnswered(sent, answer, now);
       });
     };
@@ -142,7 +145,7 @@
         if (delivery == Delivery::Normal)
           answer = carryOut();
         else
-          dispose(delivery, carryOut);
+          carryOutUnanswered(delivery, carryOut);
         lease.startAnswered(order.key, answer, now);
       });
     };
@@ -154,7 +157,7 @@
         if (delivery == Delivery::Normal)
           answer = carryOut();
         else
-          dispose(delivery, carryOut);
+          carryOutUnanswered(delivery, carryOut);
         lease.stopAnswered(order.key, answer, now);
       });
     };
@@ -169,20 +172,20 @@
       rejected.emplace_back(key, failure);
     };
     hooks.runActive = [](const RunKey&, int) {};
-    hooks.strayFound = [this](const RunKey& key) { strays.push_back(key); };
+    hooks.strayFound = [this](const RunKey& key) { orphans.push_back(key); };
     hooks.strayEnded = [this](const RunKey& key, RunEnd end) {
-      straysEnded.emplace_back(key, end);
+      endedOrphans.emplace_back(key, end);
     };
     hooks.strayStopped = [this](const auto& note) {
-      straysStopped.push_back(note.key);
+      stoppedOrphans.push_back(note.key);
     };
     hooks.stopFailed = [this](const auto& note) {
-      stopsFailed.push_back(note);
+      failedStops.push_back(note);
     };
     hooks.unwantedRenewal = [this](const auto& note) {
       unwantedRenewals.push_back(note);
     };
-    hooks.lapsed = [this](const auto& note) { lapses.push_back(note); };
+    hooks.lapsed = [this](const auto& note) { expiries.push_back(note); };
     hooks.stateChanged = [this](LeaseState state) { states.push_back(state); };
     hooks.wantedUntil = [this](const RunKey& key) -> std::optional<TimePoint> {
       if (unwanted.count(key) > 0)
@@ -194,12 +197,12 @@
   }
 
   template<class CarryOut>
-  void dispose(Delivery delivery, CarryOut carryOut)
+  void carryOutUnanswered(Delivery delivery, CarryOut carryOut)
   {
     if (delivery == Delivery::AnswerLost)
       carryOut();
     else if (delivery == Delivery::Late)
-      late.push_back([carryOut] { carryOut(); });
+      lateOrders.push_back([carryOut] { carryOut(); });
   }
 };
 
--- a/tests/workers/leasenotes_test.cpp
+++ b/tests/workers/leasenotes_test.cpp
@@ -10,13 +10,13 @@
 class LeaseNotesTest : public ::testing::Test
 {
 protected:
-  void pass(int milliseconds)
+  void advance(int milliseconds)
   {
     fixture.now += std::chrono::milliseconds(milliseconds);
     fixture.lease.tick(fixture.now);
   }
 
-  /// Answers the report that waits, and loses a stop behind it.
+  /// Answers the waiting report request, and loses the stop behind it.
   void loseStop()
   {
     fixture.deliver(Delivery::Normal, 1);
@@ -27,8 +27,8 @@
   LeaseFixture fixture;
 };
 
-/// Guards against a renewal over a run that is to end and that nobody sees.
-TEST_F(LeaseNotesTest, ARenewalOverARunWhoseStopsAreLostIsToldOnce)
+/// Guards against renewals of a run that is to end without anybody noticing.
+TEST_F(LeaseNotesTest, ReportsOnceARenewalOfARunWhoseStopsAreLost)
 {
   fixture.claim();
   fixture.start(run);
@@ -36,7 +36,7 @@
   fixture.lease.stop(run, fixture.now);
   for (int i = 0; i < 50; ++i) {
     loseStop();
-    pass(20);
+    advance(20);
   }
   ASSERT_EQ(fixture.unwantedRenewals.size(), 1u);
   EXPECT_EQ(fixture.unwantedRenewals[0].key, run);
@@ -44,8 +44,9 @@
   EXPECT_GT(fixture.unwantedRenewals[0].age, Duration::zero());
 }
 
-/// Guards against a line for each stop, as one is followed by a report.
-TEST_F(LeaseNotesTest, ARenewalAfterAnAnsweredStopIsNotTold)
+/// Guards against a log line for each stop: a report request, which renews the
+/// lease, follows every stop.
+TEST_F(LeaseNotesTest, DoesNotReportARenewalAfterAnAnsweredStop)
 {
   fixture.claim();
   fixture.start(run);
@@ -53,49 +54,49 @@
   fixture.lease.stop(run, fixture.now);
   for (int i = 0; i < 5; ++i) {
     fixture.deliver();
-    pass(20);
+    advance(20);
   }
   EXPECT_EQ(fixture.ended.size(), 1u);
   EXPECT_TRUE(fixture.unwantedRenewals.empty());
 }
 
-TEST_F(LeaseNotesTest, EachUnansweredStopIsTold)
+TEST_F(LeaseNotesTest, ReportsEachUnansweredStop)
 {
   fixture.claim();
   fixture.start(run);
   fixture.deliver();
   fixture.lease.stop(run, fixture.now);
   fixture.deliver(Delivery::Lost);
-  ASSERT_EQ(fixture.stopsFailed.size(), 1u);
-  EXPECT_EQ(fixture.stopsFailed[0].failure, OrderFailure::Unanswered);
-  EXPECT_EQ(fixture.stopsFailed[0].sent, 1u);
+  ASSERT_EQ(fixture.failedStops.size(), 1u);
+  EXPECT_EQ(fixture.failedStops[0].failure, OrderFailure::Unanswered);
+  EXPECT_EQ(fixture.failedStops[0].sent, 1u);
 }
 
-TEST_F(LeaseNotesTest, AStrayThatIsStoppedIsTold)
+TEST_F(LeaseNotesTest, ReportsThatAnOrphanedRunIsStopped)
 {
   fixture.worker.start({ 5, run, "spec", 60'000'000 }, fixture.now);
   fixture.claim();
-  ASSERT_EQ(fixture.strays.size(), 1u);
-  pass(180);
-  EXPECT_TRUE(fixture.straysStopped.empty());
-  pass(20);
-  ASSERT_EQ(fixture.straysStopped.size(), 1u);
-  EXPECT_EQ(fixture.straysStopped[0], run);
+  ASSERT_EQ(fixture.orphans.size(), 1u);
+  advance(180);
+  EXPECT_TRUE(fixture.stoppedOrphans.empty());
+  advance(20);
+  ASSERT_EQ(fixture.stoppedOrphans.size(), 1u);
+  EXPECT_EQ(fixture.stoppedOrphans[0], run);
 }
 
-TEST_F(LeaseNotesTest, ALapseTellsAllRunsOfTheWorker)
+TEST_F(LeaseNotesTest, ReportsAllRunsOfTheWorkerWhenItsLeaseExpires)
 {
   fixture.claim();
   fixture.start(run);
   fixture.start(RunKey("b.0.0.0", 1));
   fixture.deliver();
   for (int i = 0; i < 100; ++i) {
-    pass(20);
+    advance(20);
     fixture.deliver(Delivery::Lost);
   }
-  ASSERT_EQ(fixture.lapses.size(), 1u);
-  EXPECT_EQ(fixture.lapses[0].runs.size(), 2u);
-  EXPECT_GT(fixture.lapses[0].sinceReport, std::chrono::milliseconds(750));
+  ASSERT_EQ(fixture.expiries.size(), 1u);
+  EXPECT_EQ(fixture.expiries[0].runs.size(), 2u);
+  EXPECT_GT(fixture.expiries[0].sinceReport, std::chrono::milliseconds(750));
 }
 
 } // namespace
--- a/tests/workers/leaseproperty_test.cpp
+++ b/tests/workers/leaseproperty_test.cpp
@@ -8,9 +8,9 @@
 namespace cowslippin::testing {
 namespace {
 
-/// Drives a lease with random faults and checks, after each step, that the
-/// worker never runs more than it has room for, and that a run whose end was
-/// told is over.
+/// Drives a lease through random faults. After each step it checks that the
+/// worker never runs more than its capacity, and that a run that was reported
+/// as ended or rejected is not in progress.
 class RandomLease
 {
 public:
@@ -34,10 +34,10 @@
         stopOne();
         break;
       case 6:
-        m_fixture.pass(*rc::gen::inRange(1, 150));
+        m_fixture.advance(*rc::gen::inRange(1, 150));
         break;
       default:
-        disturb();
+        injectFault();
     }
     check();
   }
@@ -77,12 +77,13 @@
       m_fixture.lease.stop(*rc::gen::elementOf(runs), m_fixture.now);
   }
 
-  /// A late order arrives, or another daemon takes the worker and gives it up.
-  void disturb()
+  /// A late order arrives, the worker restarts, another daemon claims the
+  /// worker, or this daemon claims it again.
+  void injectFault()
   {
-    if (!m_fixture.late.empty() && *rc::gen::arbitrary<bool>()) {
-      m_fixture.late.back()();
-      m_fixture.late.pop_back();
+    if (!m_fixture.lateOrders.empty() && *rc::gen::arbitrary<bool>()) {
+      m_fixture.lateOrders.back()();
+      m_fixture.lateOrders.pop_back();
       return;
     }
     if (*rc::gen::inRange(0, 4) == 0) {
@@ -120,7 +121,7 @@
 };
 
 void
-driveLease()
+runRandomSteps()
 {
   RandomLease lease;
   const int steps = *rc::gen::inRange(20, 250);
@@ -128,35 +129,36 @@
     lease.step();
 }
 
-TEST(WorkerLease, NeverOverfillsAWorkerNorEndsARunningTaskWhateverIsLost)
+TEST(WorkerLease, NeverExceedsCapacityNorReportsTheEndOfARunInProgress)
 {
-  EXPECT_TRUE(rc::check(driveLease));
+  EXPECT_TRUE(rc::check(runRandomSteps));
 }
 
 /// Whether the property holds with this seed.
 bool
-holdsWith(std::uint64_t seed)
+holdsWithSeed(std::uint64_t seed)
 {
   rc::detail::TestParams params = rc::detail::configuration().testParams;
   params.seed = seed;
-  const auto result =
-    rc::detail::checkTestable(driveLease, rc::detail::TestMetadata(), params);
+  const auto result = rc::detail::checkTestable(
+    runRandomSteps, rc::detail::TestMetadata(), params);
   return result.is<rc::detail::SuccessResult>();
 }
 
-class EndToldBeforeALateStart : public ::testing::TestWithParam<std::uint64_t>
+class EndReportedBeforeALateStart
+  : public ::testing::TestWithParam<std::uint64_t>
 {};
 
-/// Guards against telling the end of a run whose start may still be carried
+/// Guards against reporting the end of a run whose start may still be carried
 /// out.
-TEST_P(EndToldBeforeALateStart, IsNotToldWhateverIsLost)
+TEST_P(EndReportedBeforeALateStart, DoesNotOccur)
 {
-  EXPECT_TRUE(holdsWith(GetParam()));
+  EXPECT_TRUE(holdsWithSeed(GetParam()));
 }
 
-/// Seeds of the property above that have failed.
+/// Seeds with which the property above has failed.
 INSTANTIATE_TEST_SUITE_P(Seeds,
-                         EndToldBeforeALateStart,
+                         EndReportedBeforeALateStart,
                          ::testing::Values(13,
                                            15,
                                            44,
@@ -178,11 +180,11 @@
 class OverfilledByALateStart : public ::testing::TestWithParam<std::uint64_t>
 {};
 
-/// Guards against a life that carries out a late start beside starts for which
-/// `isSafeToStart` was not asked.
-TEST_P(OverfilledByALateStart, IsNoWorkerWhateverIsLost)
+/// Guards against an incarnation that carries out a late start in addition to
+/// starts that were sent without asking `isSafeToStart`.
+TEST_P(OverfilledByALateStart, DoesNotOccurToAnyWorker)
 {
-  EXPECT_TRUE(holdsWith(GetParam()));
+  EXPECT_TRUE(holdsWithSeed(GetParam()));
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds,
--- a/tests/workers/lifetracker_test.cpp
+++ b/tests/workers/lifetracker_test.cpp
@@ -11,61 +11,68 @@
 const WorkerBirth first(1800000000000);
 const WorkerBirth second(1800000005000);
 
-TEST(LifeTracker, AWorkerThatTellsNoBirthHasOneLife)
+TEST(IncarnationTracker, AWorkerWithoutABootTimeHasOneIncarnation)
 {
-  LifeTracker life({}, start);
-  EXPECT_EQ(life.seenInList({}, start), WorkerLife::Present);
-  EXPECT_EQ(life.seenInAnswer({}, start, start), WorkerLife::Present);
+  IncarnationTracker tracker({}, start);
+  EXPECT_EQ(tracker.observeListEntry({}, start), WorkerIncarnation::Current);
+  EXPECT_EQ(tracker.observeAnswer({}, start, start),
+            WorkerIncarnation::Current);
 }
 
-TEST(LifeTracker, TheFirstBirthThatIsToldIsThatOfThePresentLife)
+TEST(IncarnationTracker, TheFirstBootTimeIsThatOfTheCurrentIncarnation)
 {
-  LifeTracker life({}, start);
-  EXPECT_EQ(life.seenInAnswer(first, start, start), WorkerLife::Present);
-  EXPECT_EQ(life.seenInList({}, start), WorkerLife::Present);
-  EXPECT_EQ(life.seenInList(second, start), WorkerLife::Next);
+  IncarnationTracker tracker({}, start);
+  EXPECT_EQ(tracker.observeAnswer(first, start, start),
+            WorkerIncarnation::Current);
+  EXPECT_EQ(tracker.observeListEntry({}, start), WorkerIncarnation::Current);
+  EXPECT_EQ(tracker.observeListEntry(second, start), WorkerIncarnation::Next);
 }
 
-TEST(LifeTracker, ALaterBirthIsTheNextLifeFromWhicheverStreamItComes)
+TEST(IncarnationTracker, ALaterBootTimeInListOrAnswerIsTheNextIncarnation)
 {
-  LifeTracker byList(first, start);
-  EXPECT_EQ(byList.seenInList(second, start), WorkerLife::Next);
-  EXPECT_EQ(byList.seenInAnswer(second, start, start), WorkerLife::Present);
+  IncarnationTracker byList(first, start);
+  EXPECT_EQ(byList.observeListEntry(second, start), WorkerIncarnation::Next);
+  EXPECT_EQ(byList.observeAnswer(second, start, start),
+            WorkerIncarnation::Current);
 
-  LifeTracker byAnswer(first, start);
-  EXPECT_EQ(byAnswer.seenInAnswer(second, start, start), WorkerLife::Next);
-  EXPECT_EQ(byAnswer.seenInList(second, start), WorkerLife::Present);
+  IncarnationTracker byAnswer(first, start);
+  EXPECT_EQ(byAnswer.observeAnswer(second, start, start),
+            WorkerIncarnation::Next);
+  EXPECT_EQ(byAnswer.observeListEntry(second, start),
+            WorkerIncarnation::Current);
 }
 
-TEST(LifeTracker, WhatWasSaidByAnEarlierLifeIsKnownForIt)
+TEST(IncarnationTracker, RecognisesListEntriesAndAnswersOfAnEarlierIncarnation)
 {
-  LifeTracker life(first, start);
-  life.seenInList(second, start + milliseconds(5));
-  EXPECT_EQ(life.seenInList(first, start + milliseconds(10)),
-            WorkerLife::Earlier);
-  EXPECT_EQ(life.seenInAnswer(first, start, start + milliseconds(10)),
-            WorkerLife::Earlier);
+  IncarnationTracker tracker(first, start);
+  tracker.observeListEntry(second, start + milliseconds(5));
+  EXPECT_EQ(tracker.observeListEntry(first, start + milliseconds(10)),
+            WorkerIncarnation::Earlier);
+  EXPECT_EQ(tracker.observeAnswer(first, start, start + milliseconds(10)),
+            WorkerIncarnation::Earlier);
 }
 
-TEST(LifeTracker, AnAnswerToAnOlderOrderWithAnEarlierBirthIsOfAnEarlierLife)
+TEST(IncarnationTracker,
+     AnOlderAnswerWithAnEarlierBootTimeIsOfAnEarlierIncarnation)
 {
-  // The list told of the second life before anything of the first was known.
-  LifeTracker life(second, start);
-  EXPECT_EQ(life.seenInAnswer(first, start - milliseconds(1), start),
-            WorkerLife::Earlier);
+  // The list reports the second incarnation before anything of the first was
+  // known.
+  IncarnationTracker tracker(second, start);
+  EXPECT_EQ(tracker.observeAnswer(first, start - milliseconds(1), start),
+            WorkerIncarnation::Earlier);
 }
 
-TEST(LifeTracker, AClockThatWasSetBackDoesNotHideTheNextLife)
+TEST(IncarnationTracker, DetectsTheNextIncarnationAfterItsClockWasSetBack)
 {
-  LifeTracker life(second, start);
+  IncarnationTracker tracker(second, start);
   const TimePoint sent = start + milliseconds(20);
-  EXPECT_EQ(life.seenInAnswer(first, sent, sent + milliseconds(2)),
-            WorkerLife::Next);
-  EXPECT_EQ(life.seenInList(second, sent + milliseconds(300)),
-            WorkerLife::Earlier)
-    << "the list still has the life that is over";
-  EXPECT_EQ(life.seenInList(first, sent + milliseconds(600)),
-            WorkerLife::Present);
+  EXPECT_EQ(tracker.observeAnswer(first, sent, sent + milliseconds(2)),
+            WorkerIncarnation::Next);
+  EXPECT_EQ(tracker.observeListEntry(second, sent + milliseconds(300)),
+            WorkerIncarnation::Earlier)
+    << "the list still has the ended incarnation";
+  EXPECT_EQ(tracker.observeListEntry(first, sent + milliseconds(600)),
+            WorkerIncarnation::Current);
 }
 
 } // namespace
--- a/tests/workers/restartedworker_test.cpp
+++ b/tests/workers/restartedworker_test.cpp
@@ -8,8 +8,8 @@
 const RunKey run1("job.0.0.0", 1);
 const Resources task(6800, 10, 0);
 
-/// A worker that starts again under its id while this daemon holds it. Its
-/// clock, its count of ends and its tokens begin anew.
+/// A worker that restarts under its id while this daemon holds its lease. Its
+/// clock, its count of ends and its record of tokens start from the beginning.
 class RestartedWorker : public ::testing::Test
 {
 protected:
@@ -19,17 +19,17 @@
     fixture.orders.clear();
   }
 
-  /// Starts a run, which a report shows.
+  /// Starts a run that a report then lists.
   void start(const RunKey& key)
   {
     fixture.start(key);
     fixture.deliver(Delivery::Normal, 1);
-    seeReport();
+    receiveReport();
     fixture.orders.clear();
   }
 
-  /// Asks for a report, which may tell of the next life.
-  void seeReport()
+  /// Receives a report, which may be from the next incarnation.
+  void receiveReport()
   {
     fixture.lease.holdAnswered(
       { fixture.lease.token(), fixture.now },
@@ -39,51 +39,52 @@
   }
 
   /// Waits until no start of an earlier holder can be carried out any more.
-  void outliveStartsOfOthers()
+  void outlastEarlierHoldersStarts()
   {
     fixture.now += std::chrono::seconds(12);
-    seeReport();
+    receiveReport();
     fixture.orders.clear();
   }
 
   LeaseFixture fixture;
 };
 
-TEST_F(RestartedWorker, EndsWhatRanInItsEarlierLifeAtOnce)
+TEST_F(RestartedWorker, EndsRunsOfTheEarlierIncarnationAtOnce)
 {
   start(run1);
   fixture.restart(2);
-  seeReport();
+  receiveReport();
   ASSERT_EQ(fixture.ended.size(), 1u);
   EXPECT_EQ(fixture.ended[0], std::make_pair(run1, RunEnd::Lost));
   EXPECT_EQ(fixture.lease.state(), LeaseState::Restarted);
-  EXPECT_FALSE(fixture.lease.canStart(task)) << "before it is claimed anew";
+  EXPECT_FALSE(fixture.lease.canStart(task)) << "it isn't claimed again yet";
 }
 
-TEST_F(RestartedWorker, KeepsARunThatEitherLifeMayHaveBegun)
+TEST_F(RestartedWorker, KeepsARunThatEitherIncarnationMayHaveStarted)
 {
   fixture.restart(2);
   fixture.start(run1);
   fixture.deliver(Delivery::Normal, 1);
-  seeReport();
-  EXPECT_TRUE(fixture.ended.empty()) << "the new life has begun it";
+  receiveReport();
+  EXPECT_TRUE(fixture.ended.empty())
+    << "the new incarnation has started the run";
   fixture.orders.clear();
   fixture.claim(20);
   EXPECT_TRUE(fixture.ended.empty());
-  EXPECT_TRUE(fixture.strays.empty());
+  EXPECT_TRUE(fixture.orphans.empty());
   EXPECT_EQ(fixture.lease.runCount(), 1u);
 }
 
-TEST_F(RestartedWorker, IsUsableAsSoonAsItIsClaimedAnew)
+TEST_F(RestartedWorker, IsUsableOnceItIsClaimedAgain)
 {
   fixture.restart(2);
-  seeReport();
+  receiveReport();
   fixture.claim(20);
   EXPECT_EQ(fixture.lease.state(), LeaseState::Held);
   EXPECT_TRUE(fixture.lease.canStart(task));
 }
 
-TEST_F(RestartedWorker, IsKnownByThePlatformsListToo)
+TEST_F(RestartedWorker, IsDetectedByThePlatformsListToo)
 {
   start(run1);
   fixture.lease.setRecord(LeaseFixture::record(WorkerBirth(1)), fixture.now);
@@ -94,7 +95,7 @@
   EXPECT_EQ(fixture.lease.state(), LeaseState::Restarted);
 }
 
-TEST_F(RestartedWorker, TellsItsEndsFromOneOn)
+TEST_F(RestartedWorker, NumbersItsEndsFromOne)
 {
   for (int i = 0; i < 5; ++i) {
     const RunKey key("old.0.0." + std::to_string(i), 1);
@@ -102,24 +103,24 @@
     fixture.deliver(Delivery::Normal, 1);
     fixture.worker.end(key, RunEnd::Done);
   }
-  seeReport();
+  receiveReport();
   ASSERT_EQ(fixture.ended.size(), 5u);
   fixture.restart(2);
-  seeReport();
+  receiveReport();
   fixture.claim(20);
   fixture.orders.clear();
   fixture.start(run1);
   fixture.deliver(Delivery::Normal, 1);
   fixture.worker.end(run1, RunEnd::Done);
-  seeReport();
+  receiveReport();
   ASSERT_EQ(fixture.ended.size(), 6u);
   EXPECT_EQ(fixture.ended[5], std::make_pair(run1, RunEnd::Done));
 }
 
-TEST_F(RestartedWorker, LeasesEndByItsNewClock)
+TEST_F(RestartedWorker, LeasesExpireByItsNewClock)
 {
   fixture.restart(2);
-  seeReport();
+  receiveReport();
   fixture.claim(20);
   fixture.orders.clear();
   fixture.start(run1);
@@ -128,46 +129,48 @@
   fixture.now += std::chrono::milliseconds(800);
   fixture.worker.lapse(fixture.now);
   EXPECT_FALSE(fixture.worker.isRunning(run1))
-    << "without a renewal it ends after 750 ms";
+    << "without a renewal the run ends after 750 ms";
 }
 
-TEST_F(RestartedWorker, KeepsATaskWithAnUnansweredStartUntilItIsClaimedAnew)
+TEST_F(RestartedWorker, KeepsARunWithAnUnansweredStartUntilItIsClaimedAgain)
 {
   fixture.start(run1);
   fixture.deliver(Delivery::Late, 1);
   fixture.restart(2);
-  seeReport();
+  receiveReport();
   EXPECT_TRUE(fixture.ended.empty()) << "the start may still arrive";
   fixture.lease.claim(20, fixture.now);
-  fixture.late[0]();
+  fixture.lateOrders[0]();
   EXPECT_TRUE(fixture.worker.isRunning(run1))
-    << "the new life knows no token yet";
+    << "the new incarnation has no token yet";
   fixture.orders.pop_front();
   fixture.deliver(Delivery::Normal, 8);
-  EXPECT_TRUE(fixture.ended.empty()) << "the new life has it";
+  EXPECT_TRUE(fixture.ended.empty()) << "the run is on the new incarnation";
 }
 
-TEST_F(RestartedWorker, ALateStartDoesNothingOnceItIsClaimedAnew)
+TEST_F(RestartedWorker, IgnoresALateStartOnceItIsClaimedAgain)
 {
   fixture.start(run1);
   fixture.deliver(Delivery::Late, 1);
   fixture.restart(2);
-  seeReport();
+  receiveReport();
   fixture.orders.clear();
   fixture.claim(20);
-  EXPECT_TRUE(fixture.ended.empty()) << "a third life may carry it out";
+  EXPECT_TRUE(fixture.ended.empty())
+    << "a third incarnation may carry the start out";
   ASSERT_EQ(fixture.unresolved, std::vector<RunKey>{ run1 });
-  fixture.late[0]();
+  fixture.lateOrders[0]();
   EXPECT_FALSE(fixture.worker.isRunning(run1));
 }
 
-TEST_F(RestartedWorker, TheRefusalOfAnOrderToItsEarlierLifeDoesNotFenceIt)
+TEST_F(RestartedWorker,
+       ARefusedOrderToTheEarlierIncarnationDoesNotFenceTheLease)
 {
   fixture.start(run1);
   const auto start = fixture.orders.front();
   fixture.orders.clear();
   fixture.restart(2);
-  seeReport();
+  receiveReport();
   fixture.lease.claim(20, fixture.now);
   const auto claim = fixture.orders.front();
   fixture.orders.clear();
@@ -178,7 +181,7 @@
   EXPECT_EQ(fixture.lease.state(), LeaseState::Held);
 }
 
-TEST_F(RestartedWorker, AnAnswerOfItsEarlierLifeIsIgnored)
+TEST_F(RestartedWorker, AnAnswerOfTheEarlierIncarnationIsIgnored)
 {
   fixture.start(run1);
   fixture.deliver(Delivery::Normal, 1);
@@ -191,21 +194,21 @@
   fixture.claim(20);
   fixture.lease.holdAnswered(
     { fixture.lease.token(), sent.at }, old, fixture.now);
-  EXPECT_TRUE(fixture.strays.empty());
+  EXPECT_TRUE(fixture.orphans.empty());
   EXPECT_TRUE(fixture.lease.isIdle());
 }
 
-TEST_F(RestartedWorker, ThatNeverAnswersAgainGivesItsTasksUp)
+TEST_F(RestartedWorker, EndsItsRunsIfItNeverAnswersAgain)
 {
   fixture.start(run1);
   fixture.deliver(Delivery::Late, 1);
   fixture.restart(2);
-  seeReport();
+  receiveReport();
   fixture.orders.clear();
   fixture.lease.claim(20, fixture.now);
   for (int i = 0; i < 600; ++i) {
     fixture.deliver(Delivery::Lost, 8);
-    fixture.pass(20);
+    fixture.advance(20);
     if (i == 400) {
       EXPECT_TRUE(fixture.ended.empty()) << "a start may be seconds late";
     }
@@ -214,24 +217,26 @@
   EXPECT_EQ(fixture.ended[0].second, RunEnd::Lapsed);
 }
 
-/// Guards against exceeding the capacity of a new life that carries out both a
-/// late start and a new one before the restart is detected.
-TEST_F(RestartedWorker, AStartWaitsForAReportWhereALateOneWouldLeaveNoRoom)
+/// Guards against exceeding the capacity of a new incarnation that carries out
+/// both a late start and a new one before the restart is detected.
+TEST_F(RestartedWorker, AStartNeedsAReportIfALateStartWouldLeaveNoCapacity)
 {
   const Resources large(12000, 10, 0);
-  outliveStartsOfOthers();
+  outlastEarlierHoldersStarts();
   fixture.start(run1, 12000);
   fixture.deliver(Delivery::Late, 1);
   fixture.deliver(Delivery::Normal, 1);
-  fixture.pass(100);
+  fixture.advance(100);
   fixture.deliver(Delivery::Normal, 8);
-  EXPECT_TRUE(fixture.ended.empty()) << "the next life may carry it out";
-  ASSERT_EQ(fixture.unresolved.size(), 1u) << "the present life has stopped it";
+  EXPECT_TRUE(fixture.ended.empty())
+    << "the next incarnation may carry the start out";
+  ASSERT_EQ(fixture.unresolved.size(), 1u)
+    << "the current incarnation has stopped it";
   fixture.now += std::chrono::milliseconds(20);
   EXPECT_TRUE(fixture.lease.canStart(large));
   EXPECT_FALSE(fixture.lease.isSafeToStart(large, fixture.now));
   EXPECT_TRUE(fixture.lease.isSafeToStart(Resources(4000, 10, 0), fixture.now));
-  seeReport();
+  receiveReport();
   EXPECT_TRUE(fixture.lease.isSafeToStart(large, fixture.now));
   const SentHold sent{ fixture.lease.token(), fixture.now };
   fixture.now += std::chrono::milliseconds(20);
@@ -246,36 +251,36 @@
   EXPECT_TRUE(fixture.lease.isSafeToStart(large, fixture.now));
 }
 
-/// Guards against exceeding the capacity of a new life that carries out a start
-/// of an earlier holder and one of this.
-TEST_F(RestartedWorker, AStartWaitsForAReportWhileOneOfAnEarlierHolderMayArrive)
+/// Guards against exceeding the capacity of a new incarnation that carries out
+/// a start of an earlier holder and one of the current holder.
+TEST_F(RestartedWorker, AStartNeedsAReportWhileAnEarlierHoldersStartMayArrive)
 {
   const Resources small(1000, 10, 0);
   fixture.now += std::chrono::milliseconds(20);
   EXPECT_FALSE(fixture.lease.isSafeToStart(small, fixture.now));
-  seeReport();
+  receiveReport();
   EXPECT_TRUE(fixture.lease.isSafeToStart(small, fixture.now));
   fixture.now += std::chrono::seconds(12);
   EXPECT_TRUE(fixture.lease.isSafeToStart(small, fixture.now));
   fixture.orders.clear();
   fixture.restart(2);
-  seeReport();
+  receiveReport();
   fixture.claim(20);
   fixture.now += std::chrono::milliseconds(20);
   EXPECT_TRUE(fixture.lease.isSafeToStart(small, fixture.now))
-    << "nobody else has held it since";
+    << "no other daemon has held the worker since";
 }
 
-TEST_F(RestartedWorker, MayStartAgainTwiceInARow)
+TEST_F(RestartedWorker, MayRestartTwiceInARow)
 {
   fixture.start(run1);
   fixture.deliver(Delivery::Late, 1);
   fixture.restart(2);
-  seeReport();
+  receiveReport();
   fixture.lease.claim(20, fixture.now);
   fixture.orders.clear();
   fixture.restart(3);
-  seeReport();
+  receiveReport();
   EXPECT_EQ(fixture.lease.state(), LeaseState::Restarted);
   fixture.claim(30);
   EXPECT_EQ(fixture.lease.state(), LeaseState::Held);
@@ -285,7 +290,7 @@
 
 /// Guards against starting a task elsewhere while its first start may still be
 /// carried out.
-TEST_F(RestartedWorker, TellsNoEndOfAStartThatItsNextLifeMayCarryOut)
+TEST_F(RestartedWorker, ReportsNoEndOfAStartThatTheNextIncarnationMayCarryOut)
 {
   fixture.start(run1);
   fixture.deliver(Delivery::Late, 1);
@@ -293,15 +298,15 @@
   EXPECT_EQ(fixture.unresolved, std::vector<RunKey>{ run1 });
   EXPECT_TRUE(fixture.lease.canStart(Resources(16000, 10, 0)));
   fixture.restart(2);
-  fixture.late[0]();
+  fixture.lateOrders[0]();
   EXPECT_TRUE(fixture.worker.isRunning(run1));
   EXPECT_TRUE(fixture.ended.empty());
   EXPECT_TRUE(fixture.rejected.empty());
 }
 
-/// Guards against two runs of a task in one life that carries out two starts of
-/// it.
-TEST_F(RestartedWorker, AStartWithoutAnAnswerIsSentAgainAsTheSameRun)
+/// Guards against two runs of a task in one incarnation that carries out two
+/// starts of it.
+TEST_F(RestartedWorker, AnUnansweredStartIsSentAgainAsTheSameRun)
 {
   fixture.mayResend = true;
   fixture.start(run1);
@@ -311,9 +316,9 @@
   EXPECT_EQ(fixture.lease.runCount(), 1u);
   EXPECT_EQ(fixture.lease.unansweredStarts().size(), 1u) << "the first copy";
   fixture.restart(2);
-  fixture.late[0]();
+  fixture.lateOrders[0]();
   EXPECT_EQ(fixture.worker.runs(), std::vector<RunKey>{ run1 });
-  seeReport();
+  receiveReport();
   fixture.orders.clear();
   fixture.claim(20);
   EXPECT_EQ(fixture.lease.runCount(), 1u);
@@ -321,7 +326,7 @@
   EXPECT_TRUE(fixture.unresolved.empty());
 }
 
-TEST_F(RestartedWorker, AStartThatAReportShowsIsNotSentAgain)
+TEST_F(RestartedWorker, AStartWhoseRunIsReportedIsNotSentAgain)
 {
   fixture.mayResend = true;
   fixture.start(run1);
@@ -330,13 +335,13 @@
   EXPECT_TRUE(fixture.lease.unansweredStarts().empty());
   fixture.worker.end(run1, RunEnd::Done);
   fixture.orders.clear();
-  seeReport();
+  receiveReport();
   ASSERT_EQ(fixture.ended.size(), 1u);
   EXPECT_EQ(fixture.worker.starts(run1.task()), 1u);
 }
 
-/// Guards against exceeding the capacity of a life that begins between a report
-/// and the copy of a start that is sent after it.
+/// Guards against exceeding the capacity of an incarnation that begins between
+/// a report and the copy of a start that is sent after it.
 TEST_F(RestartedWorker, IsDetectedByAReportThatFollowsACopyOfAStart)
 {
   fixture.start(RunKey("other.0.0.0", 1), 12000);
@@ -353,9 +358,9 @@
   EXPECT_EQ(fixture.lease.state(), LeaseState::Restarted);
 }
 
-/// Guards against exceeding the capacity of a life that carries out two late
-/// starts before its restart is detected.
-TEST_F(RestartedWorker, IsDetectedAtTheNextTickWhereLateStartsLeaveNoRoom)
+/// Guards against exceeding the capacity of an incarnation that carries out two
+/// late starts before its restart is detected.
+TEST_F(RestartedWorker, IsDetectedAtTheNextTickIfLateStartsMayExceedItsCapacity)
 {
   for (const RunKey& key : { run1, RunKey("other.0.0.0", 1) }) {
     fixture.start(key, 12000);
@@ -363,33 +368,36 @@
     fixture.deliver(Delivery::Normal, 8);
   }
   ASSERT_EQ(fixture.lease.unansweredStarts().size(), 2u);
-  // The report that waits for an end is lost with the life.
+  // The report request that waits for a run to end is lost with the
+  // incarnation.
   fixture.orders.clear();
   fixture.restart(2);
-  fixture.pass(20);
+  fixture.advance(20);
   fixture.deliver(Delivery::Normal, 1);
   EXPECT_EQ(fixture.lease.state(), LeaseState::Restarted);
 }
 
-/// Guards against needless reports where a next life has room for all starts.
-TEST_F(RestartedWorker, IsAskedNoMoreThanOthersWhereLateStartsLeaveRoom)
+/// Guards against needless report requests if the next incarnation has capacity
+/// for all unanswered starts.
+TEST_F(RestartedWorker, GetsNoExtraReportRequestIfLateStartsFitItsCapacity)
 {
   fixture.start(run1, 12000);
   fixture.deliver(Delivery::Late, 1);
   fixture.deliver(Delivery::Normal, 8);
   fixture.orders.clear();
-  fixture.pass(20);
+  fixture.advance(20);
   EXPECT_TRUE(fixture.orders.empty());
 }
 
-/// Guards against starting a task again whose first copy has ended unseen.
-TEST_F(RestartedWorker, ACopyThatIsRefusedAsStaleWaitsForTheEndOfTheOther)
+/// Guards against starting a task again after the end of its first copy went
+/// unnoticed.
+TEST_F(RestartedWorker, ACopyRefusedAsStaleWaitsForTheEndOfTheOtherCopy)
 {
   fixture.mayResend = true;
   fixture.start(run1);
   fixture.deliver(Delivery::Late, 1);
   fixture.deliver(Delivery::Normal, 1);
-  fixture.late[0]();
+  fixture.lateOrders[0]();
   fixture.worker.end(run1, RunEnd::Done);
   fixture.deliver(Delivery::Normal, 1);
   EXPECT_TRUE(fixture.rejected.empty());
--- a/tests/workers/unansweredstarts_test.cpp
+++ b/tests/workers/unansweredstarts_test.cpp
@@ -34,17 +34,17 @@
   EXPECT_EQ(starts.expiry(run1), now + seconds(13));
   starts.remove(run1);
   EXPECT_TRUE(starts.contains(run1));
-  starts.noteRun(run1);
+  starts.runReported(run1);
   EXPECT_TRUE(starts.contains(run1)) << "the copy that was answered";
   starts.remove(run1);
   EXPECT_FALSE(starts.contains(run1));
 }
 
-TEST(UnansweredStarts, ARunThatWasSeenAccountsForOneCopy)
+TEST(UnansweredStarts, AReportedRunAccountsForOneCopy)
 {
   UnansweredStarts starts;
   starts.add(run1, Resources(3000, 10, 0), now + seconds(12));
-  starts.noteRun(run1);
+  starts.runReported(run1);
   EXPECT_TRUE(starts.isEmpty());
   EXPECT_EQ(starts.expiry(run1), std::nullopt);
 }
--- a/tests/workers/wantedruns_test.cpp
+++ b/tests/workers/wantedruns_test.cpp
@@ -11,12 +11,12 @@
 const RunKey run2("b.0.0.0", 1);
 const Resources task(6800, 10, 0);
 
-/// Lets time pass in steps in which all orders are delivered.
+/// Advances time in steps and delivers all orders at each step.
 void
-passAndDeliver(LeaseFixture& fixture, int milliseconds)
+advanceAndDeliver(LeaseFixture& fixture, int milliseconds)
 {
   for (int passed = 0; passed < milliseconds; passed += 20) {
-    fixture.pass(20);
+    fixture.advance(20);
     fixture.deliver();
     fixture.worker.lapse(fixture.now);
   }
@@ -31,26 +31,26 @@
   fixture.deliver(Delivery::Normal, 4);
 }
 
-TEST(WantedRuns, ARunLapsesOnTimeThoughAnotherOnItsWorkerIsRenewed)
+TEST(WantedRuns, ARunExpiresOnTimeAlthoughAnotherRunOfItsWorkerIsRenewed)
 {
   LeaseFixture fixture;
   const TimePoint end = fixture.now + milliseconds(1200);
   fixture.wantedUntil[run1] = end;
   startBoth(fixture);
-  passAndDeliver(fixture, 1180);
+  advanceAndDeliver(fixture, 1180);
   EXPECT_TRUE(fixture.worker.isRunning(run1));
-  passAndDeliver(fixture, 40);
+  advanceAndDeliver(fixture, 40);
   EXPECT_FALSE(fixture.worker.isRunning(run1));
 }
 
-TEST(WantedRuns, ARunThatIsWantedForShortIsLeasedForShort)
+TEST(WantedRuns, ARunThatIsWantedBrieflyGetsAShortLease)
 {
   LeaseFixture fixture;
   fixture.wantedUntil[run1] = fixture.now + milliseconds(500);
   startBoth(fixture);
   fixture.now += milliseconds(501);
   fixture.worker.lapse(fixture.now);
-  EXPECT_FALSE(fixture.worker.isRunning(run1)) << "its holder was lost at once";
+  EXPECT_FALSE(fixture.worker.isRunning(run1)) << "the holder was lost at once";
 }
 
 TEST(WantedRuns, ARunWhoseStopIsLostIsNotRenewed)
@@ -58,31 +58,32 @@
   LeaseFixture fixture;
   fixture.wantedUntil[run1] = fixture.now + milliseconds(1200);
   startBoth(fixture);
-  passAndDeliver(fixture, 200);
+  advanceAndDeliver(fixture, 200);
   fixture.lease.stop(run1, fixture.now);
   fixture.unwanted.insert(run1);
   fixture.isStopLost = true;
-  passAndDeliver(fixture, 900);
-  EXPECT_TRUE(fixture.worker.isRunning(run1)) << "its stops are lost";
-  passAndDeliver(fixture, 140);
+  advanceAndDeliver(fixture, 900);
+  EXPECT_TRUE(fixture.worker.isRunning(run1))
+    << "the stops of the run are lost";
+  advanceAndDeliver(fixture, 140);
   EXPECT_FALSE(fixture.worker.isRunning(run1));
 }
 
-/// Starts a run of an earlier holder and claims the worker for the next.
+/// Starts a run of an earlier holder and claims the worker for the next holder.
 void
-leaveAStray(LeaseFixture& fixture, Duration lease, std::size_t strays = 1)
+leaveOrphanedRun(LeaseFixture& fixture, Duration lease, std::size_t orphans = 1)
 {
   const auto end = toMilliseconds((fixture.now + lease).time_since_epoch());
   fixture.worker.start({ 5, run1, "spec", end + 50000 }, fixture.now);
   fixture.claim();
-  ASSERT_EQ(fixture.strays.size(), strays);
+  ASSERT_EQ(fixture.orphans.size(), orphans);
 }
 
-TEST(WantedRuns, WhatANewHolderFindsIsNotRenewedBeforeItIsAskedFor)
+TEST(WantedRuns, AnOrphanedRunIsNotRenewedBeforeItIsAdopted)
 {
   LeaseFixture fixture;
-  leaveAStray(fixture, milliseconds(150));
-  fixture.pass(100);
+  leaveOrphanedRun(fixture, milliseconds(150));
+  fixture.advance(100);
   fixture.deliver();
   fixture.now += milliseconds(51);
   fixture.worker.lapse(fixture.now);
@@ -92,7 +93,7 @@
 TEST(WantedRuns, AnAdoptedRunIsRenewedAtOnce)
 {
   LeaseFixture fixture;
-  leaveAStray(fixture, milliseconds(150));
+  leaveOrphanedRun(fixture, milliseconds(150));
   ASSERT_TRUE(fixture.lease.adopt(run1.task(), task));
   fixture.lease.refresh(fixture.now);
   fixture.deliver();
@@ -101,7 +102,7 @@
   EXPECT_TRUE(fixture.worker.isRunning(run1));
 }
 
-TEST(WantedRuns, NothingIsStartedWhereAnotherRunKeepsTheLeaseShort)
+TEST(WantedRuns, NothingIsStartedWhileAnotherRunKeepsTheLeaseShort)
 {
   LeaseFixture fixture;
   fixture.claim();
@@ -113,7 +114,7 @@
   EXPECT_FALSE(fixture.lease.isSafeToStart(task, fixture.now));
 }
 
-TEST(WantedRuns, ASilentWorkersRunsAreGoneWhenTheLastLeaseIsOver)
+TEST(WantedRuns, RunsOfASilentWorkerExpireWithTheLastLease)
 {
   LeaseFixture fixture;
   fixture.claim();
@@ -122,19 +123,19 @@
   fixture.wantedUntil[run1] = begin + milliseconds(400);
   fixture.start(run1);
   fixture.deliver(Delivery::Normal, 2);
-  EXPECT_GE(fixture.lease.lapsedBy(), begin + milliseconds(400));
-  EXPECT_LE(fixture.lease.lapsedBy(), begin + milliseconds(500));
+  EXPECT_GE(fixture.lease.runsExpireBy(), begin + milliseconds(400));
+  EXPECT_LE(fixture.lease.runsExpireBy(), begin + milliseconds(500));
 }
 
-/// Lets the worker fall silent and expects that no run is said to be over while
-/// it is at work.
+/// Makes the worker silent and expects that no run in progress is reported as
+/// ended.
 void
-expectNoneLeftBehindInSilence(LeaseFixture& fixture)
+expectNoRunEndsEarlyWhileSilent(LeaseFixture& fixture)
 {
-  fixture.pass(290);
+  fixture.advance(290);
   fixture.deliver(Delivery::Lost, 1);
   for (int i = 0; i < 8; ++i) {
-    fixture.pass(90);
+    fixture.advance(90);
     fixture.deliver(Delivery::Lost, 4);
     fixture.worker.lapse(fixture.now);
     for (const auto& [key, how] : fixture.ended)
@@ -142,28 +143,29 @@
   }
 }
 
-TEST(WantedRuns, AnAdoptedRunOfASilentWorkerIsNotOverBeforeTheLastHoldersLease)
+TEST(WantedRuns,
+     AnAdoptedRunOfASilentWorkerIsNotReportedEndedBeforeThePreviousLease)
 {
   LeaseFixture fixture;
   const auto end =
     toMilliseconds((fixture.now + milliseconds(720)).time_since_epoch());
   fixture.worker.start({ 5, run2, "spec", end + 50000 }, fixture.now);
-  leaveAStray(fixture, milliseconds(720), 2);
+  leaveOrphanedRun(fixture, milliseconds(720), 2);
   ASSERT_TRUE(fixture.lease.adopt(run1.task(), task));
-  expectNoneLeftBehindInSilence(fixture);
+  expectNoRunEndsEarlyWhileSilent(fixture);
 }
 
 TEST(WantedRuns,
-     AnAdoptedRunThatIsWantedForShortIsNotOverBeforeTheLastHoldersLease)
+     AnAdoptedRunThatIsWantedBrieflyIsNotReportedEndedBeforeThePreviousLease)
 {
   LeaseFixture fixture;
-  leaveAStray(fixture, milliseconds(720));
+  leaveOrphanedRun(fixture, milliseconds(720));
   fixture.wantedUntil[run1] = fixture.now + milliseconds(400);
   ASSERT_TRUE(fixture.lease.adopt(run1.task(), task));
   fixture.lease.refresh(fixture.now);
   fixture.orders.back()(Delivery::Normal);
   fixture.orders.pop_back();
-  expectNoneLeftBehindInSilence(fixture);
+  expectNoRunEndsEarlyWhileSilent(fixture);
 }
 
 } // namespace
--- a/tests/workers/workerhealth_test.cpp
+++ b/tests/workers/workerhealth_test.cpp
@@ -18,13 +18,13 @@
   WorkerHealth health{ WorkerHealth::Settings() };
 };
 
-TEST_F(WorkerHealthTest, OneFailureIsNoReason)
+TEST_F(WorkerHealthTest, OneFailureDoesNotExcludeAWorker)
 {
   fail(1);
   EXPECT_TRUE(health.isUsable(2, now));
 }
 
-TEST_F(WorkerHealthTest, AWorkerThatFailsAllIsKeptOffAndTriedWithOneTask)
+TEST_F(WorkerHealthTest, AFailingWorkerIsExcludedAndThenTriedWithOneTask)
 {
   fail(3);
   EXPECT_FALSE(health.isUsable(0, now));
@@ -33,7 +33,7 @@
   EXPECT_FALSE(health.isUsable(1, now));
 }
 
-TEST_F(WorkerHealthTest, FailingTheTrialKeepsItOffLonger)
+TEST_F(WorkerHealthTest, FailingOnProbationExcludesTheWorkerLonger)
 {
   fail(3);
   now += std::chrono::milliseconds(900);
@@ -44,7 +44,7 @@
   EXPECT_TRUE(health.isUsable(0, now));
 }
 
-TEST_F(WorkerHealthTest, ASlowWorkerIsKeptOff)
+TEST_F(WorkerHealthTest, ASlowWorkerIsExcluded)
 {
   for (int i = 0; i < 3; ++i)
     health.ended(RunEnd::Done, 6, now);
@@ -60,7 +60,7 @@
   EXPECT_TRUE(health.isUsable(2, now));
 }
 
-TEST_F(WorkerHealthTest, StopsAndLapsesSayNothingOfIt)
+TEST_F(WorkerHealthTest, StoppedRunsDoNotCount)
 {
   for (int i = 0; i < 10; ++i)
     health.ended(RunEnd::Stopped, 0, now);
--- a/tests/workers/workerlease_test.cpp
+++ b/tests/workers/workerlease_test.cpp
@@ -29,7 +29,7 @@
   fixture.deliver(Delivery::Normal, 3);
   fixture.worker.end(run1, RunEnd::Done);
   EXPECT_FALSE(fixture.lease.canStart(task));
-  fixture.pass(20);
+  fixture.advance(20);
   fixture.deliver();
   EXPECT_TRUE(fixture.lease.canStart(task));
   ASSERT_EQ(fixture.ended.size(), 1u);
@@ -46,10 +46,11 @@
   fixture.lease.stop(run1, fixture.now);
   EXPECT_FALSE(fixture.lease.canStart(task));
   fixture.deliver(Delivery::Normal, 1);
-  EXPECT_FALSE(fixture.lease.canStart(task)) << "the stop was answered only";
+  EXPECT_FALSE(fixture.lease.canStart(task)) << "the end isn't listed yet";
 }
 
-/// Of a worker that has a new id in each life, so that a stop holds for good.
+/// The worker has a new id in each incarnation, so that a stop is effective for
+/// good.
 TEST(WorkerLease, ATaskWhoseStartIsLostMayStartElsewhereOnceItsStopIsAnswered)
 {
   LeaseFixture fixture;
@@ -58,15 +59,15 @@
   const auto waitingReport = std::exchange(fixture.orders, {});
   fixture.start(run1);
   fixture.deliver(Delivery::Late, 1);
-  EXPECT_TRUE(fixture.ended.empty()) << "it may still begin";
+  EXPECT_TRUE(fixture.ended.empty()) << "the run may still start";
   fixture.deliver(Delivery::Normal, 1);
-  EXPECT_TRUE(fixture.ended.empty()) << "the stop was answered only";
+  EXPECT_TRUE(fixture.ended.empty()) << "the end isn't listed yet";
   fixture.deliver(Delivery::Normal, 1);
   ASSERT_EQ(fixture.ended.size(), 1u)
-    << "without waiting for the report that waits for an end";
+    << "doesn't wait for the report request that waits for a run to end";
   EXPECT_EQ(fixture.ended[0].second, RunEnd::Lost);
-  fixture.late[0]();
-  EXPECT_FALSE(fixture.worker.isRunning(run1)) << "it never begins";
+  fixture.lateOrders[0]();
+  EXPECT_FALSE(fixture.worker.isRunning(run1)) << "the run never starts";
 }
 
 TEST(WorkerLease, AReportThatWasOvertakenByANewerOneIsIgnored)
@@ -85,12 +86,13 @@
   fixture.lease.holdAnswered(asked, newer, fixture.now);
   ASSERT_EQ(fixture.ended.size(), 1u);
   fixture.lease.holdAnswered(asked, older, fixture.now);
-  EXPECT_TRUE(fixture.strays.empty());
+  EXPECT_TRUE(fixture.orphans.empty());
   EXPECT_TRUE(fixture.lease.canStart(task));
 }
 
-/// What may happen to the answer of a start, and what must be true a second
-/// later: the run is settled and its room is free if and only if it is over.
+/// What may happen to a start and to the stop that follows it. One second later
+/// the outcome of the run has to be known, and its capacity is free if and only
+/// if the run has ended.
 struct StartCase
 {
   const char* name;
@@ -101,7 +103,7 @@
 class UnansweredStart : public ::testing::TestWithParam<StartCase>
 {};
 
-TEST_P(UnansweredStart, IsSettledBeforeItsRoomIsUsedAgain)
+TEST_P(UnansweredStart, IsResolvedBeforeItsCapacityIsUsedAgain)
 {
   LeaseFixture fixture;
   fixture.claim();
@@ -110,19 +112,19 @@
   fixture.deliver(GetParam().start, 1);
   EXPECT_FALSE(fixture.lease.canStart(task));
   fixture.deliver(GetParam().stop, 1);
-  // The report that was under way is answered first, then those after it.
+  // The report request in flight is answered first, then those after it.
   fixture.lease.holdAnswered(
     { 10, fixture.now },
     fixture.worker.hold({ 10, std::nullopt, 0, {} }, fixture.now),
     fixture.now);
   for (int step = 0; step < 80; ++step) {
-    fixture.pass(20);
+    fixture.advance(20);
     fixture.deliver(Delivery::Normal, 2);
     EXPECT_FALSE(fixture.lease.canStart(Resources(12000, 0, 0)) &&
                  fixture.worker.isRunning(run1));
   }
   EXPECT_TRUE(fixture.lease.canStart(Resources(12000, 0, 0)));
-  for (const auto& order : fixture.late)
+  for (const auto& order : fixture.lateOrders)
     order();
   EXPECT_FALSE(fixture.worker.isRunning(run1)) << "carried out late";
 }
@@ -140,24 +142,24 @@
     StartCase{ "LateAndStopLate", Delivery::Late, Delivery::Late }),
   [](const auto& info) { return std::string(info.param.name); });
 
-TEST(WorkerLease, AStartThatMayStillArriveKeepsItsRoomThoughAReportLacksIt)
+TEST(WorkerLease, AStartThatMayStillArriveKeepsItsCapacityThoughAReportLacksIt)
 {
   LeaseFixture fixture;
   fixture.claim();
   fixture.start(run1, 12000);
   fixture.deliver(Delivery::Normal, 1);
   fixture.deliver(Delivery::Late, 1);
-  ASSERT_EQ(fixture.late.size(), 1u);
+  ASSERT_EQ(fixture.lateOrders.size(), 1u);
   while (!fixture.orders.empty())
     fixture.deliver(Delivery::Lost, 1);
-  fixture.pass(20);
+  fixture.advance(20);
   fixture.deliver(Delivery::Normal, 1);
   EXPECT_FALSE(fixture.lease.canStart(task));
-  fixture.late.front()();
+  fixture.lateOrders.front()();
   EXPECT_TRUE(fixture.worker.isRunning(run1));
 }
 
-TEST(WorkerLease, AFencedHolderStartsNothingAndSaysSo)
+TEST(WorkerLease, AFencedLeaseStartsNothing)
 {
   LeaseFixture fixture;
   fixture.claim(10);
@@ -167,7 +169,7 @@
   EXPECT_FALSE(fixture.lease.canStart(task));
 }
 
-TEST(WorkerLease, AFencedStartIsRejectedAndFreesItsRoom)
+TEST(WorkerLease, AFencedStartIsRejectedAndFreesItsCapacity)
 {
   LeaseFixture fixture;
   fixture.claim(10);
@@ -180,32 +182,33 @@
   EXPECT_EQ(fixture.lease.state(), LeaseState::Fenced);
 }
 
-TEST(WorkerLease, ATakeoverFindsWhatRunsAndStartsNothingBesideIt)
+TEST(WorkerLease, ATakeoverFindsRunsInProgressAndStartsNothingBesideThem)
 {
   LeaseFixture fixture;
   fixture.worker.start({ 5, run1, "", 1000 * 1000 + 50000 + 700 }, fixture.now);
   fixture.claim(10);
-  ASSERT_EQ(fixture.strays.size(), 1u);
-  EXPECT_FALSE(fixture.lease.canStart(task)) << "its size isn't known";
+  ASSERT_EQ(fixture.orphans.size(), 1u);
+  EXPECT_FALSE(fixture.lease.canStart(task))
+    << "the size of the run isn't known";
   ASSERT_TRUE(fixture.lease.adopt(run1.task(), Resources(12000, 10, 0)));
   EXPECT_FALSE(fixture.lease.canStart(task));
   EXPECT_TRUE(fixture.lease.canStart(Resources(4000, 0, 0)));
 }
 
-TEST(WorkerLease, ARunThatNobodyAsksForIsStopped)
+TEST(WorkerLease, AnOrphanedRunThatNobodyAsksForIsStopped)
 {
   LeaseFixture fixture;
   fixture.worker.start({ 5, run1, "", 1000 * 1000 + 50000 + 700 }, fixture.now);
   fixture.claim(10);
   for (int step = 0; step < 20; ++step) {
-    fixture.pass(20);
+    fixture.advance(20);
     fixture.deliver(Delivery::Normal, 3);
   }
   EXPECT_FALSE(fixture.worker.isRunning(run1));
   EXPECT_TRUE(fixture.lease.canStart(Resources(16000, 0, 0)));
 }
 
-TEST(WorkerLease, AClaimDoesNotRenewTheLeaseOfWhatItFinds)
+TEST(WorkerLease, AClaimDoesNotRenewTheLeaseOfOrphanedRuns)
 {
   LeaseFixture fixture;
   fixture.worker.start({ 5, run1, "", 1000 * 1000 + 50000 + 100 }, fixture.now);
@@ -216,7 +219,7 @@
   EXPECT_FALSE(fixture.worker.isRunning(run1));
 }
 
-TEST(WorkerLease, RunsOfASilentWorkerEndOnlyWhenTheirLeaseIsSurelyOver)
+TEST(WorkerLease, RunsOfASilentWorkerEndOnlyAfterTheirLeaseHasExpired)
 {
   LeaseFixture fixture;
   fixture.claim();
@@ -226,24 +229,25 @@
   fixture.lease.holdAnswered(
     { 10, fixture.now }, OrderFailure::Unanswered, fixture.now);
   while (fixture.ended.empty() &&
-         fixture.now < fixture.lease.lapsedBy() + std::chrono::seconds(5)) {
-    fixture.pass(20);
+         fixture.now < fixture.lease.runsExpireBy() + std::chrono::seconds(5)) {
+    fixture.advance(20);
     fixture.deliver(Delivery::AnswerLost, 1);
     fixture.worker.lapse(fixture.now);
   }
   ASSERT_EQ(fixture.ended.size(), 1u);
   EXPECT_FALSE(fixture.worker.isRunning(run1));
-  EXPECT_FALSE(fixture.lease.canStart(task)) << "what runs there isn't known";
-  fixture.pass(300);
+  EXPECT_FALSE(fixture.lease.canStart(task))
+    << "the runs on the worker aren't known";
+  fixture.advance(300);
   fixture.deliver(Delivery::Normal, 1);
   EXPECT_TRUE(fixture.lease.canStart(task));
 }
 
-TEST(WorkerLease, AnAnswerToAnEarlierClaimTellsNothingOfTheWorker)
+TEST(WorkerLease, AnAnswerToAnEarlierClaimIsIgnored)
 {
   LeaseFixture fixture;
   fixture.claim();
-  ASSERT_EQ(fixture.orders.size(), 1u) << "a report that may wait";
+  ASSERT_EQ(fixture.orders.size(), 1u) << "a report request that may wait";
   fixture.lease.claim(20, fixture.now);
   fixture.deliver(Delivery::Normal, 1);
   EXPECT_EQ(fixture.lease.state(), LeaseState::Claiming);
@@ -253,26 +257,26 @@
   EXPECT_EQ(fixture.worker.highestToken(), 20u);
 }
 
-TEST(WorkerLease, ALateAnswerToAnEarlierStartLeavesARunThatWasFoundInTheBook)
+TEST(WorkerLease, ALateAnswerToAnEarlierStartKeepsAnOrphanedRun)
 {
   LeaseFixture fixture;
   fixture.claim();
   fixture.orders.clear();
   fixture.worker.start({ 10, run1, "spec", 1'100'000 }, fixture.now);
   fixture.claim(20);
-  ASSERT_EQ(fixture.strays.size(), 1u);
+  ASSERT_EQ(fixture.orphans.size(), 1u);
   fixture.lease.startAnswered(run1, OrderFailure::StaleRun, fixture.now);
   EXPECT_TRUE(fixture.rejected.empty());
   EXPECT_FALSE(fixture.lease.canStart(task));
   for (int step = 0; step < 30; ++step) {
-    fixture.pass(20);
+    fixture.advance(20);
     fixture.deliver(Delivery::Normal, 2);
   }
   EXPECT_FALSE(fixture.worker.isRunning(run1));
   EXPECT_TRUE(fixture.lease.canStart(task));
 }
 
-TEST(WorkerLease, AnotherLifeOfTheWorkerEndsItsRuns)
+TEST(WorkerLease, AnotherIncarnationAtTheAddressEndsTheRuns)
 {
   LeaseFixture fixture;
   fixture.claim();
@@ -284,7 +288,7 @@
   EXPECT_EQ(fixture.lease.state(), LeaseState::Ended);
 }
 
-TEST(WorkerLease, ADrainingWorkerIsGivenNothing)
+TEST(WorkerLease, ADrainingWorkerGetsNoStarts)
 {
   LeaseFixture fixture;
   fixture.claim();
@@ -295,7 +299,7 @@
   EXPECT_FALSE(fixture.lease.canStart(task));
 }
 
-TEST(WorkerLease, TheSumOfTheBoundsStaysBelowACallersResend)
+TEST(WorkerLease, TheSumOfTheTimeoutsIsBelowACallersResendInterval)
 {
   const WorkerLease::Settings settings;
   const Duration silenceLimit = std::chrono::milliseconds(450);
