--- a/src/libshards/memberindex.cpp
+++ b/src/libshards/memberindex.cpp
@@ -9,10 +9,10 @@
   if (!isNew) {
     if (known->second == member)
       return;
-    unlink(known->second);
+    removeFromIndexes(known->second);
   }
   known->second = member;
-  link(known->second);
+  addToIndexes(known->second);
 }
 
 void
@@ -21,7 +21,7 @@
   const auto known = m_members.find(id);
   if (known == m_members.end())
     return;
-  unlink(known->second);
+  removeFromIndexes(known->second);
   m_members.erase(known);
 }
 
@@ -41,16 +41,16 @@
 }
 
 void
-MemberIndex::link(const MemberView& member)
+MemberIndex::addToIndexes(const MemberView& member)
 {
   for (const auto& [shard, token] : member.shards)
     m_claimants[shard][member.id] = &member;
   if (!member.isLeaving)
-    ++m_staying[member.zone];
+    ++m_activeCounts[member.zone];
 }
 
 void
-MemberIndex::unlink(const MemberView& member)
+MemberIndex::removeFromIndexes(const MemberView& member)
 {
   for (const auto& [shard, token] : member.shards) {
     const auto found = m_claimants.find(shard);
@@ -58,9 +58,9 @@
     if (found->second.empty())
       m_claimants.erase(found);
   }
-  const auto staying = m_staying.find(member.zone);
-  if (!member.isLeaving && --staying->second == 0)
-    m_staying.erase(staying);
+  const auto active = m_activeCounts.find(member.zone);
+  if (!member.isLeaving && --active->second == 0)
+    m_activeCounts.erase(active);
 }
 
 } // namespace cowslippin
--- a/src/libshards/memberindex.h
+++ b/src/libshards/memberindex.h
@@ -6,35 +6,38 @@
 
 namespace cowslippin {
 
-/// The other daemons that can be heard, found by what a decision asks for: who
-/// says to hold a shard, and whether a zone has a daemon. Decisions are made at
-/// each tick; what one costs must not grow with the number of daemons.
+/// The other daemons that can be reached, indexed by the shards that they claim
+/// to hold and by availability zone. Shard decisions are made at each tick, so
+/// that the cost of one must not grow with the number of daemons.
 class MemberIndex
 {
 public:
   using Members = std::map<VmId, MemberView>;
   using Claimants = std::map<VmId, const MemberView*>;
 
-  /// Adds a member or replaces what was known of it.
+  /// Adds a member or replaces its view.
   void put(const MemberView& member);
   void erase(const VmId& id);
 
   const Members& all() const { return m_members; }
-  /// Null if it isn't known.
+  /// Null if the member isn't known.
   const MemberView* find(const VmId& id) const;
-  /// Those who say that they hold the shard.
+  /// The members that claim to hold the shard.
   const Claimants& claimants(const ShardId& shard) const;
-  /// Whether a member of the zone stays.
-  bool hasZone(const ZoneName& zone) const { return m_staying.count(zone) > 0; }
+  /// Whether the zone has a member that isn't leaving.
+  bool hasActiveMember(const ZoneName& zone) const
+  {
+    return m_activeCounts.count(zone) > 0;
+  }
 
 private:
-  void link(const MemberView& member);
-  void unlink(const MemberView& member);
+  void addToIndexes(const MemberView& member);
+  void removeFromIndexes(const MemberView& member);
 
   Members m_members;
   std::map<ShardId, Claimants> m_claimants;
-  /// How many members of each zone stay.
-  std::map<ZoneName, std::size_t> m_staying;
+  /// Number of members of each zone that aren't leaving.
+  std::map<ZoneName, std::size_t> m_activeCounts;
 };
 
 } // namespace cowslippin
--- a/src/libshards/memberview.h
+++ b/src/libshards/memberview.h
@@ -7,24 +7,26 @@
 
 namespace cowslippin {
 
-/// What another daemon says of itself, as of its last heartbeat.
+/// State of another daemon as reported in its last heartbeat.
 struct MemberView
 {
   VmId id;
   ZoneName zone;
-  /// It is shutting down and gives up what it holds.
+  /// The daemon is shutting down and releases its shards.
   bool isLeaving = false;
-  /// It has too little processor time for what it does.
+  /// The daemon gets too little processor time for its work.
   bool isStrained = false;
-  /// How slow its machine is: the logarithm of what a fixed work takes.
+  /// How slow the daemon's machine is: the logarithm of the time that a fixed
+  /// amount of work takes.
   int slowness = 0;
-  /// How many workers it can hold.
+  /// How many workers the daemon can hold.
   std::size_t carried = 1;
-  /// It had started only just before.
+  /// The daemon had started shortly before the heartbeat.
   bool isNew = false;
-  /// It has a configuration and a list of workers.
+  /// The daemon has a configuration and a list of workers.
   bool isReady = false;
-  /// The shards it holds, each with the token it took them with.
+  /// The shards that the daemon holds, each with the fencing token under which
+  /// it took the shard.
   std::map<ShardId, std::uint64_t> shards;
 
   friend bool operator==(const MemberView& a, const MemberView& b)
--- a/src/libshards/shardtable.cpp
+++ b/src/libshards/shardtable.cpp
@@ -9,23 +9,25 @@
 
 namespace {
 
-/// Who takes a shard that is free: one that isn't strained if there is any,
-/// then the one that would hold the fewest for what it can hold, then the one
-/// on the fastest machine.
+/// Rank of a candidate for a free shard; the lowest takes it. A daemon with
+/// enough processor time goes first, then the one with the lowest load after
+/// taking the shard, then the one on the fastest machine. A hash of shard and
+/// daemon breaks ties.
 using Rank = std::tuple<bool, double, int, std::size_t>;
 
-/// Whose claim to a shard counts: one that stays goes before one that leaves,
-/// one of the shard's zone before another, then the higher token.
+/// Rank of a claim to a shard; the highest counts. A daemon that isn't leaving
+/// goes before one that is, a daemon of the shard's zone before one of another
+/// zone, then the higher token decides.
 using ClaimRank = std::tuple<bool, bool, std::uint64_t>;
 
-/// Differs from daemon to daemon.
+/// A hash that gives each daemon a different order of the shards.
 std::size_t
-spreadOf(const ShardId& shard, const VmId& vm)
+orderHash(const ShardId& shard, const VmId& vm)
 {
   return std::hash<std::string>()(shard.toString() + '|' + vm.value());
 }
 
-/// How much a daemon has to do for what it can.
+/// Number of shards relative to the number of workers that a daemon can hold.
 double
 load(std::size_t shards, std::size_t carried)
 {
@@ -41,7 +43,7 @@
      int slowness)
 {
   return {
-    isStrained, load(shards + 1, carried), slowness, spreadOf(shard, vm)
+    isStrained, load(shards + 1, carried), slowness, orderHash(shard, vm)
   };
 }
 
@@ -55,7 +57,7 @@
   , m_zone(std::move(zone))
   , m_settings(settings)
   , m_start(start)
-  , m_lastHeard(start)
+  , m_lastHeardAt(start)
 {
 }
 
@@ -65,11 +67,11 @@
   if (shards == m_shards)
     return;
   m_shards = shards;
-  m_preferred.assign(shards.begin(), shards.end());
-  std::sort(m_preferred.begin(),
-            m_preferred.end(),
+  m_takeOrder.assign(shards.begin(), shards.end());
+  std::sort(m_takeOrder.begin(),
+            m_takeOrder.end(),
             [this](const ShardId& a, const ShardId& b) {
-              return spreadOf(a, m_self) < spreadOf(b, m_self);
+              return orderHash(a, m_self) < orderHash(b, m_self);
             });
 }
 
@@ -77,14 +79,14 @@
 ShardTable::memberSeen(const MemberView& member, TimePoint now)
 {
   const MemberView* known = m_members.find(member.id);
-  const bool isSizeNew =
+  const bool isChanged =
     !known || known->carried != member.carried || known->zone != member.zone;
   m_members.put(member);
   for (const auto& [shard, token] : member.shards)
     m_lastTokens[shard] = token;
-  m_lastHeard = now;
+  m_lastHeardAt = now;
   m_zoneEmptySince.erase(member.zone);
-  return isSizeNew;
+  return isChanged;
 }
 
 void
@@ -95,8 +97,8 @@
     return;
   const ZoneName zone = member->zone;
   m_members.erase(id);
-  m_lastHeard = now;
-  if (!m_members.hasZone(zone))
+  m_lastHeardAt = now;
+  if (!m_members.hasActiveMember(zone))
     m_zoneEmptySince[zone] = now;
 }
 
@@ -105,7 +107,7 @@
                          const VmId& holder,
                          TimePoint now)
 {
-  m_platformBeats[shard] = { holder, now };
+  m_platformHeartbeats[shard] = { holder, now };
 }
 
 void
@@ -125,7 +127,8 @@
 {
   return isIsolated() ||
          std::any_of(m_shards.begin(), m_shards.end(), [&](const auto& shard) {
-           return shard.zone() != m_zone && !m_members.hasZone(shard.zone());
+           return shard.zone() != m_zone &&
+                  !m_members.hasActiveMember(shard.zone());
          });
 }
 
@@ -133,14 +136,15 @@
 ShardTable::orphans(TimePoint now) const
 {
   std::map<ShardId, std::uint64_t> orphans;
-  if (!m_isReady || m_isLeaving || !hasSettled(now))
+  if (!m_isReady || m_isLeaving || !hasWaitedForOthers(now))
     return orphans;
   for (const ShardId& shard : m_shards) {
     const auto token = m_lastTokens.find(shard);
     const bool isOrphan = shard.zone() != m_zone &&
-                          !m_members.hasZone(shard.zone()) && !holder(shard);
+                          !m_members.hasActiveMember(shard.zone()) &&
+                          !holder(shard);
     if (isOrphan && token != m_lastTokens.end() &&
-        isFirst(shard, m_held.size(), true))
+        isBestCandidate(shard, m_held.size(), true))
       orphans.insert(*token);
   }
   return orphans;
@@ -162,7 +166,7 @@
   }
   if (!mayTakeNow(now))
     return decisions;
-  for (const ShardId& shard : m_preferred) {
+  for (const ShardId& shard : m_takeOrder) {
     const std::size_t own = m_held.size() + decisions.take.size();
     if (m_held.count(shard) > 0 || !mayTake(shard, own, now))
       continue;
@@ -173,8 +177,8 @@
   return decisions;
 }
 
-/// Whether others may be starting just as this daemon is, so that what it
-/// hasn't heard of may still be theirs in a moment.
+/// Whether other daemons may be starting at the same time as this one, so that
+/// a shard of which no claim was heard may be claimed a moment later.
 bool
 ShardTable::takesOneAtATime(TimePoint now) const
 {
@@ -185,7 +189,7 @@
 ShardTable::mayTakeNow(TimePoint now) const
 {
   return !takesOneAtATime(now) ||
-         now - m_lastTakenAt >= m_settings.takeInterval;
+         now - m_lastTakenAt >= m_settings.startupTakeInterval;
 }
 
 void
@@ -201,7 +205,7 @@
 {
   m_held.erase(shard);
   m_fencedAt.erase(shard);
-  m_keptOffUntil[shard] = now + m_settings.coolOff;
+  m_retakeAllowedAt[shard] = now + m_settings.retakeDelay;
 }
 
 void
@@ -282,21 +286,21 @@
 }
 
 bool
-ShardTable::hasSettled(TimePoint now) const
+ShardTable::hasWaitedForOthers(TimePoint now) const
 {
   const Duration age = now - m_start;
-  return age >= m_settings.settleLimit ||
-         (hasHeardAll() && age >= m_settings.settleTime);
+  return age >= m_settings.maxStartupWait ||
+         (hasHeardAll() && age >= m_settings.minStartupWait);
 }
 
-/// Whether a daemon that has just started needn't wait for those it hasn't
-/// heard: the shard's last holder is this daemon's earlier life, or is here and
-/// doesn't claim it, or all daemons were lost at once. After such a loss this
-/// brings the first shard back 0.3 s sooner.
+/// Whether a daemon that has just started needn't wait for daemons that it
+/// hasn't heard: the shard's last holder is this daemon before its restart, or
+/// is reachable and doesn't claim the shard, or all daemons were lost at once.
+/// After such a loss the first shard is held 0.3 s sooner because of this.
 bool
 ShardTable::isKnownFree(const ShardId& shard, TimePoint now) const
 {
-  if (!isNew(now) || now - m_start < m_settings.connectTime)
+  if (!isNew(now) || now - m_start < m_settings.connectWait)
     return false;
   if (haveAllJustStarted())
     return true;
@@ -320,7 +324,7 @@
   const bool isOwnZone = m_zone == shard.zone();
   for (const auto& [vm, member] : m_members.claimants(shard)) {
     if (m_isLeaving != member->isLeaving) {
-      // The one that stays goes on.
+      // Of two holders, the one that isn't leaving keeps the shard.
       if (m_isLeaving)
         return true;
       continue;
@@ -331,13 +335,14 @@
     if (isTheirZone == isOwnZone && yieldsTo(*member, shard))
       return true;
   }
-  // One that hears nobody and loses its workers is the one that is cut off.
+  // An isolated daemon that loses its workers is the one that is partitioned
+  // off.
   const auto fenced = m_fencedAt.find(shard);
   return isIsolated() && fenced != m_fencedAt.end() &&
-         now - fenced->second < m_settings.fencedLimit;
+         now - fenced->second < m_settings.maxFencedAge;
 }
 
-/// Whether another daemon keeps a shard that both hold.
+/// Whether the other daemon keeps a shard that both hold.
 bool
 ShardTable::yieldsTo(const MemberView& member, const ShardId& shard) const
 {
@@ -355,46 +360,49 @@
                     std::size_t ownShards,
                     TimePoint now) const
 {
-  // One shard at once, so that the first that is back doesn't take the whole
-  // zone: on machines of 0.12 cores that cost a grown group 7 points of worth.
+  // Without the full wait a daemon takes one shard only, so that the first
+  // daemon that is back doesn't take the whole zone: on machines of 0.12 cores
+  // that cost a group of daemons that had grown 7 points of its score.
   const bool isInformed =
-    hasSettled(now) || (ownShards == 0 && isKnownFree(shard, now));
+    hasWaitedForOthers(now) || (ownShards == 0 && isKnownFree(shard, now));
   if (!m_isReady || m_isLeaving || !isInformed)
     return false;
-  const auto keptOff = m_keptOffUntil.find(shard);
-  if (keptOff != m_keptOffUntil.end() && now < keptOff->second)
+  const auto retake = m_retakeAllowedAt.find(shard);
+  if (retake != m_retakeAllowedAt.end() && now < retake->second)
     return false;
-  if (hasZoneClaimant(shard, ownShards, now))
+  if (isKeptInZone(shard, ownShards, now))
     return false;
   const bool isForeign = m_zone != shard.zone();
   if (isForeign && isIsolated())
     return isVacant(shard, now);
   if (isIsolated()) {
     const bool hasWaited =
-      now - m_lastHeard >= m_settings.isolatedWait || isKnownFree(shard, now);
-    return hasWaited && !isPlatformBeatFresh(shard, now);
+      now - m_lastHeardAt >= m_settings.isolatedTakeDelay ||
+      isKnownFree(shard, now);
+    return hasWaited && !hasFreshPlatformHeartbeat(shard, now);
   }
   if (!isForeign)
-    return isFirst(shard, ownShards, false);
-  if (m_members.hasZone(shard.zone()))
+    return isBestCandidate(shard, ownShards, false);
+  if (m_members.hasActiveMember(shard.zone()))
     return false;
-  if (isBeingLeft(shard) || isVacant(shard, now))
-    return isFirst(shard, ownShards, true);
+  if (isZoneLeaving(shard) || isVacant(shard, now))
+    return isBestCandidate(shard, ownShards, true);
   if (holder(shard))
     return false;
   const auto empty = m_zoneEmptySince.find(shard.zone());
   const TimePoint since =
     empty == m_zoneEmptySince.end() ? m_start : empty->second;
-  const bool isReadLately =
-    m_platformReadAt && now - *m_platformReadAt < m_settings.platformReadLimit;
-  return isReadLately && now - since >= m_settings.foreignWait &&
-         !isPlatformBeatFresh(shard, now) && isFirst(shard, ownShards, true);
+  const bool wasReadRecently =
+    m_platformReadAt && now - *m_platformReadAt < m_settings.maxPlatformReadAge;
+  return wasReadRecently && now - since >= m_settings.foreignTakeDelay &&
+         !hasFreshPlatformHeartbeat(shard, now) &&
+         isBestCandidate(shard, ownShards, true);
 }
 
 bool
-ShardTable::isFirst(const ShardId& shard,
-                    std::size_t ownShards,
-                    bool isForeign) const
+ShardTable::isBestCandidate(const ShardId& shard,
+                            std::size_t ownShards,
+                            bool isForeign) const
 {
   const Rank own =
     rank(shard, m_self, m_isStrained, ownShards, m_carried, m_slowness);
@@ -412,13 +420,13 @@
     });
 }
 
-/// Whether a daemon of the zone has the shard and keeps it. One that is
-/// strained gives way to one that isn't, and one that holds many to one that
-/// holds few.
+/// Whether a daemon of the zone holds the shard and keeps it. A daemon that is
+/// short of processor time gives way to one that isn't, and one with a high
+/// load to one with a low load.
 bool
-ShardTable::hasZoneClaimant(const ShardId& shard,
-                            std::size_t ownShards,
-                            TimePoint now) const
+ShardTable::isKeptInZone(const ShardId& shard,
+                         std::size_t ownShards,
+                         TimePoint now) const
 {
   const bool mayRebalance = !isNew(now) && !m_isStrained &&
                             m_zone == shard.zone() &&
@@ -429,34 +437,34 @@
     const MemberView& member = *item.second;
     const bool givesWay = member.isLeaving ||
                           (member.isStrained && !m_isStrained) ||
-                          (mayRebalance && holdsTooMany(member, ownShards));
+                          (mayRebalance && hasHigherLoad(member, ownShards));
     return !givesWay && member.zone == shard.zone();
   });
 }
 
-/// Whether the other daemon has no less to do than this one even when this one
-/// has taken a shard from it.
+/// Whether the other daemon's load is at least that of this one even after this
+/// one has taken a shard from it.
 bool
-ShardTable::holdsTooMany(const MemberView& member, std::size_t ownShards) const
+ShardTable::hasHigherLoad(const MemberView& member, std::size_t ownShards) const
 {
   return load(member.shards.size() - 1, member.carried) >=
          load(ownShards + 1, m_carried);
 }
 
-/// Whether those that are left of the shard's zone say that they leave, and
-/// nobody who stays has the shard. They are heard, so that the zone isn't cut
-/// off, and there is nothing to wait for.
+/// Whether all remaining daemons of the shard's zone are leaving and no daemon
+/// that isn't leaving holds the shard. The leaving daemons are still heard, so
+/// the zone isn't partitioned off, and there is nothing to wait for.
 bool
-ShardTable::isBeingLeft(const ShardId& shard) const
+ShardTable::isZoneLeaving(const ShardId& shard) const
 {
-  bool isLeft = false;
+  bool hasLeavingMember = false;
   for (const auto& [vm, member] : m_members.all()) {
     const bool isOfZone = member.zone == shard.zone();
     if (!member.isLeaving && (isOfZone || member.shards.count(shard) > 0))
       return false;
-    isLeft = isLeft || isOfZone;
+    hasLeavingMember = hasLeavingMember || isOfZone;
   }
-  return isLeft;
+  return hasLeavingMember;
 }
 
 bool
@@ -464,15 +472,15 @@
 {
   const auto vacant = m_vacantAt.find(shard);
   return vacant != m_vacantAt.end() && !holder(shard) &&
-         now - vacant->second < m_settings.vacancyLimit;
+         now - vacant->second < m_settings.maxVacancyAge;
 }
 
 bool
-ShardTable::isPlatformBeatFresh(const ShardId& shard, TimePoint now) const
+ShardTable::hasFreshPlatformHeartbeat(const ShardId& shard, TimePoint now) const
 {
-  const auto beat = m_platformBeats.find(shard);
-  return beat != m_platformBeats.end() && beat->second.first != m_self &&
-         now - beat->second.second < m_settings.platformBeatLimit;
+  const auto beat = m_platformHeartbeats.find(shard);
+  return beat != m_platformHeartbeats.end() && beat->second.first != m_self &&
+         now - beat->second.second < m_settings.maxPlatformHeartbeatAge;
 }
 
 } // namespace cowslippin
--- a/src/libshards/shardtable.h
+++ b/src/libshards/shardtable.h
@@ -8,64 +8,72 @@
 
 namespace cowslippin {
 
-/// Decides which shards of workers this daemon holds, from what it hears of the
-/// others. The workers themselves arbitrate by their fencing tokens: two
-/// daemons that both believe to hold a shard can do no harm but to each other's
-/// speed, so this table aims at few and quick changes, not at agreement.
+/// Decides which shards of workers this daemon holds, from the heartbeats of
+/// the other daemons. Two daemons that both believe they hold a shard do no
+/// damage, because the workers enforce fencing tokens; they only slow each
+/// other down. The table therefore aims at few and quick changes rather than at
+/// agreement.
 ///
-/// Shards are spread over a zone's daemons by what each can hold: of two that
-/// claim one the one that holds less keeps it, and a daemon that holds little
-/// takes shards from one that holds more. After the loss of all daemons they
-/// come back at different times, each hearing few of the others, and one alone
-/// can't serve a zone.
+/// The shards of an availability zone are spread over its daemons by how many
+/// workers each daemon can hold. If two daemons claim the same shard, the one
+/// with the lower load keeps it, and a daemon with a low load takes shards from
+/// one with a high load. After the loss of all daemons they restart at
+/// different times and each hears few of the others at first; a single daemon
+/// can't serve a whole zone.
 ///
-/// A shard is held by a daemon of its own availability zone as long as one is
-/// there. When the last of them leaves, one of another zone takes over at once:
-/// waiting for the zone's next daemon left its workers unused for 3 s of each
-/// restart. When the last is lost without a word, the shard's workers are asked
-/// whether anybody uses them. It does no input or output and reads no clock.
+/// A shard is held by a daemon of its own zone as long as the zone has one.
+/// When the zone's last daemon leaves, a daemon of another zone takes over at
+/// once: waiting for the zone's next daemon left its workers unused for 3 s of
+/// each restart. When the last daemon is lost without leaving, the shard's
+/// workers are asked whether any daemon uses them. The class does no input or
+/// output and reads no clock.
 class ShardTable
 {
 public:
   struct Settings
   {
-    /// How long after its start a daemon waits at least for others to show up,
-    /// so that it hears of shards that are held. Connecting takes some 20 ms.
-    Duration settleTime = std::chrono::milliseconds(200);
-    /// How long it waits for those that it knows of and has not heard: as long
-    /// as one that has fallen silent is waited for. Daemons start within 300 ms
-    /// of each other.
-    Duration settleLimit = std::chrono::milliseconds(450);
-    /// How long it waits before it takes a shard that nobody can hold: for the
-    /// first connections, over which a living holder would be heard.
-    Duration connectTime = std::chrono::milliseconds(60);
+    /// Least time that a daemon waits after its start for other daemons, so
+    /// that it learns which shards are held. Connecting takes about 20 ms.
+    Duration minStartupWait = std::chrono::milliseconds(200);
+    /// Longest time that a daemon waits after its start for known daemons that
+    /// it hasn't heard: as long as a silent daemon is waited for. Daemons start
+    /// within 300 ms of each other.
+    Duration maxStartupWait = std::chrono::milliseconds(450);
+    /// How long after its start a daemon waits before it takes a shard that no
+    /// other daemon can hold: time for the first connections, over which a live
+    /// holder would be heard.
+    Duration connectWait = std::chrono::milliseconds(60);
     /// How long after its start a daemon counts as new. Daemons that lose power
     /// together are back within half a second of each other.
-    Duration newTime = std::chrono::seconds(1);
-    /// Between two shards that a daemon takes while it is new and hasn't heard
-    /// all others: their claims are heard in between.
-    Duration takeInterval = std::chrono::milliseconds(150);
-    /// Between two shards that it takes from others that hold more.
+    Duration newDaemonAge = std::chrono::seconds(1);
+    /// Interval between two shards that a daemon takes while it is new and
+    /// hasn't heard all others, so that it hears their claims in between.
+    Duration startupTakeInterval = std::chrono::milliseconds(150);
+    /// Interval between two shards that a daemon takes from daemons with a
+    /// higher load.
     Duration rebalanceInterval = std::chrono::milliseconds(500);
-    /// How long a daemon that hears nobody, though it knows of others, waits
-    /// before it takes a shard: it may be the one that is cut off.
-    Duration isolatedWait = std::chrono::milliseconds(2500);
-    /// How long a zone must be without a daemon before one of another zone
-    /// takes its workers, if these can't be asked. Daemons that were killed are
-    /// back within five seconds, and a zone that is cut off goes on by itself.
-    Duration foreignWait = std::chrono::seconds(8);
-    /// How long what a shard's workers have shown counts. They are asked each
-    /// 120 ms.
-    Duration vacancyLimit = std::chrono::milliseconds(250);
-    /// A holder's heartbeat at the platform counts for this long. It sends one
-    /// each second.
-    Duration platformBeatLimit = std::chrono::milliseconds(2500);
-    /// What was read at the platform counts for this long.
-    Duration platformReadLimit = std::chrono::milliseconds(1500);
-    /// How long being fenced counts for a daemon that hears nobody.
-    Duration fencedLimit = std::chrono::seconds(1);
-    /// How long a daemon keeps off a shard that it was driven from.
-    Duration coolOff = std::chrono::seconds(3);
+    /// How long a daemon that hears no other daemon, though it knows of some,
+    /// waits before it takes a shard: it may be the one that is partitioned
+    /// off.
+    Duration isolatedTakeDelay = std::chrono::milliseconds(2500);
+    /// How long a zone must be without a daemon before a daemon of another zone
+    /// takes its workers, if the workers can't be asked. Daemons that were
+    /// killed are back within five seconds, and a zone that is partitioned off
+    /// continues on its own.
+    Duration foreignTakeDelay = std::chrono::seconds(8);
+    /// How long the workers' report that no daemon uses them is valid. They are
+    /// asked every 120 ms.
+    Duration maxVacancyAge = std::chrono::milliseconds(250);
+    /// How long a holder's heartbeat at the platform is valid. A holder sends
+    /// one every second.
+    Duration maxPlatformHeartbeatAge = std::chrono::milliseconds(2500);
+    /// How long a read of the heartbeats at the platform is valid.
+    Duration maxPlatformReadAge = std::chrono::milliseconds(1500);
+    /// How long after a worker was fenced an isolated daemon releases the
+    /// worker's shard.
+    Duration maxFencedAge = std::chrono::seconds(1);
+    /// How long a daemon doesn't take a shard again after it had to release it.
+    Duration retakeDelay = std::chrono::seconds(3);
   };
 
   struct Decisions
@@ -76,70 +84,84 @@
 
   ShardTable(VmId self, ZoneName zone, Settings settings, TimePoint start);
 
-  /// The shards into which the workers are divided.
+  /// Sets the shards into which the workers are divided.
   void setShards(const std::set<ShardId>& shards);
-  /// Daemons that exist, whether or not they can be reached.
+  /// Sets how many other daemons exist, whether or not they can be reached.
   void setKnownMembers(std::size_t count) { m_knownMembers = count; }
-  /// True if it wasn't known how many workers the member can hold.
+  /// Processes the heartbeat of a member. Returns whether the member is new or
+  /// has changed its zone or the number of workers that it can hold.
   bool memberSeen(const MemberView& member, TimePoint now);
+  /// Records that a member can no longer be reached.
   void memberGone(const VmId& id, TimePoint now);
-  /// A holder's heartbeat was read at the platform.
+  /// Records a holder's heartbeat that was read at the platform.
   void platformBeat(const ShardId& shard, const VmId& holder, TimePoint now);
-  /// Who took a shard or kept it last by what the platform has, however old
-  /// that is.
+  /// Records the last holder of a shard according to the platform, however old
+  /// that entry is.
   void lastHolderRead(const ShardId& shard, const VmId& holder);
-  /// The holders' heartbeats at the platform were read.
+  /// Records that the holders' heartbeats at the platform were read.
   void platformRead(TimePoint now) { m_platformReadAt = now; }
   /// Whether the holders' heartbeats at the platform should be read often.
   bool needsPlatformReads() const;
+  /// Sets whether this daemon has a configuration and a list of workers.
   void setReady(bool isReady) { m_isReady = isReady; }
+  /// Records that this daemon is shutting down. It takes no shards any more.
   void setLeaving() { m_isLeaving = true; }
-  /// Whether this daemon has too little processor time for what it does.
+  /// Sets whether this daemon gets too little processor time for its work.
   void setStrained(bool isStrained) { m_isStrained = isStrained; }
-  /// How slow this machine is: the logarithm of what a fixed work takes.
+  /// Sets how slow this machine is: the logarithm of the time that a fixed
+  /// amount of work takes.
   void setSlowness(int slowness) { m_slowness = slowness; }
-  /// How many workers this daemon can hold.
+  /// Sets how many workers this daemon can hold.
   void setCarried(std::size_t carried) { m_carried = carried; }
-  /// What the weakest daemon of each zone that can be heard can hold.
+  /// For each zone, the lowest number of workers that any reachable daemon of
+  /// the zone, this daemon included, can hold.
   std::map<ZoneName, std::size_t> weakestCarried() const;
-  /// Shards of zones without a daemon that can be heard, with the token that
-  /// their last holder told, whose workers this daemon is to ask whether
-  /// anybody uses them.
+  /// Shards of zones without a reachable daemon whose workers this daemon has
+  /// to ask whether any daemon uses them. Each comes with the fencing token
+  /// that its last holder reported.
   std::map<ShardId, std::uint64_t> orphans(TimePoint now) const;
-  /// The shard's workers have shown that nobody uses them.
+  /// Records that no daemon uses the shard's workers, as they have reported.
   void setVacant(const ShardId& shard, TimePoint now);
-  /// Another daemon has taken a worker of a held shard.
+  /// Records that another daemon has claimed a worker of a shard that this
+  /// daemon holds.
   void fenced(const ShardId& shard, TimePoint now);
 
+  /// The shards that this daemon has to take and to release now. The caller
+  /// carries the decisions out and calls `taken` and `released`.
   Decisions decide(TimePoint now) const;
   void taken(const ShardId& shard, std::uint64_t token, TimePoint now);
+  /// Removes a held shard, which isn't taken again for `retakeDelay`.
   void released(const ShardId& shard, TimePoint now);
-  /// The shard's workers are divided anew; it may be taken again at once.
+  /// Removes a held shard because the workers are divided into other shards.
+  /// Unlike a released shard, it may be taken again at once.
   void dissolved(const ShardId& shard);
 
-  /// Who holds a shard, this daemon included, as far as can be seen.
+  /// The holder of a shard, possibly this daemon, as far as can be seen.
   std::optional<VmId> holder(const ShardId& shard) const;
-  /// The shards that a job can go to: those into which the workers are divided
-  /// or, as long as no list of workers was read, those that others say they
-  /// hold.
+  /// The shards that a job can be sent to: those into which the workers are
+  /// divided or, until a list of workers was read, those that other daemons
+  /// claim to hold.
   std::set<ShardId> servedShards() const;
-  /// All who hold a shard and can be reached, this daemon included.
+  /// All reachable daemons that hold a shard, this daemon included.
   std::set<VmId> holders() const;
   const std::map<ShardId, std::uint64_t>& held() const { return m_held; }
   const std::set<ShardId>& shards() const { return m_shards; }
-  /// Whether others are heard and all of them are new: a daemon of before that
-  /// lives would be heard as well.
+  /// Whether other daemons are heard and all of them are new. A live daemon
+  /// that had started earlier would be heard as well.
   bool haveAllJustStarted() const;
-  /// The other daemons that can be heard.
+  /// The other daemons that can be reached.
   const MemberIndex::Members& members() const { return m_members.all(); }
-  /// Whether no other daemon can be reached though others exist.
+  /// Whether no other daemon can be reached although others exist.
   bool isIsolated() const;
-  /// Whether this daemon has started only just now.
-  bool isNew(TimePoint now) const { return now - m_start < m_settings.newTime; }
+  /// Whether this daemon started less than `newDaemonAge` ago.
+  bool isNew(TimePoint now) const
+  {
+    return now - m_start < m_settings.newDaemonAge;
+  }
 
 private:
   bool hasHeardAll() const;
-  bool hasSettled(TimePoint now) const;
+  bool hasWaitedForOthers(TimePoint now) const;
   bool takesOneAtATime(TimePoint now) const;
   bool mayTakeNow(TimePoint now) const;
   bool isKnownFree(const ShardId& shard, TimePoint now) const;
@@ -147,17 +169,17 @@
   bool mayTake(const ShardId& shard,
                std::size_t ownShards,
                TimePoint now) const;
-  bool isFirst(const ShardId& shard,
-               std::size_t ownShards,
-               bool isForeign) const;
-  bool hasZoneClaimant(const ShardId& shard,
+  bool isBestCandidate(const ShardId& shard,
                        std::size_t ownShards,
-                       TimePoint now) const;
-  bool holdsTooMany(const MemberView& member, std::size_t ownShards) const;
+                       bool isForeign) const;
+  bool isKeptInZone(const ShardId& shard,
+                    std::size_t ownShards,
+                    TimePoint now) const;
+  bool hasHigherLoad(const MemberView& member, std::size_t ownShards) const;
   bool yieldsTo(const MemberView& member, const ShardId& shard) const;
-  bool isBeingLeft(const ShardId& shard) const;
+  bool isZoneLeaving(const ShardId& shard) const;
   bool isVacant(const ShardId& shard, TimePoint now) const;
-  bool isPlatformBeatFresh(const ShardId& shard, TimePoint now) const;
+  bool hasFreshPlatformHeartbeat(const ShardId& shard, TimePoint now) const;
 
   const VmId m_self;
   const ZoneName m_zone;
@@ -165,22 +187,23 @@
   const TimePoint m_start;
   std::size_t m_knownMembers = 0;
   std::set<ShardId> m_shards;
-  /// The same in the order in which this daemon takes them, another for each,
-  /// so that daemons which don't hear each other yet seldom take the same.
-  std::vector<ShardId> m_preferred;
+  /// The same shards in the order in which this daemon takes them. Each daemon
+  /// has a different order, so that daemons that don't hear each other yet
+  /// seldom take the same shard.
+  std::vector<ShardId> m_takeOrder;
   MemberIndex m_members;
   std::map<ShardId, std::uint64_t> m_held;
   std::map<ShardId, TimePoint> m_fencedAt;
-  std::map<ShardId, TimePoint> m_keptOffUntil;
-  std::map<ShardId, std::pair<VmId, TimePoint>> m_platformBeats;
+  std::map<ShardId, TimePoint> m_retakeAllowedAt;
+  std::map<ShardId, std::pair<VmId, TimePoint>> m_platformHeartbeats;
   std::map<ShardId, VmId> m_lastHolders;
-  /// The tokens that holders have told last.
+  /// The fencing token that the holder of each shard reported last.
   std::map<ShardId, std::uint64_t> m_lastTokens;
-  /// When workers have last shown that nobody uses them.
+  /// When the workers of each shard last reported that no daemon uses them.
   std::map<ShardId, TimePoint> m_vacantAt;
-  /// When a zone's last daemon was lost.
+  /// When the last daemon of each zone was lost.
   std::map<ZoneName, TimePoint> m_zoneEmptySince;
-  TimePoint m_lastHeard;
+  TimePoint m_lastHeardAt;
   TimePoint m_lastTakenAt{};
   std::optional<TimePoint> m_platformReadAt;
   bool m_isReady = false;
--- a/tests/shards/memberindex_test.cpp
+++ b/tests/shards/memberindex_test.cpp
@@ -5,8 +5,8 @@
 namespace cowslippin::testing {
 namespace {
 
-const ShardId north(ZoneName("z1"), 0);
-const ShardId south(ZoneName("z2"), 0);
+const ShardId firstShard(ZoneName("z1"), 0);
+const ShardId secondShard(ZoneName("z2"), 0);
 
 MemberView
 member(const std::string& id, const std::string& zone)
@@ -17,24 +17,25 @@
   return view;
 }
 
-TEST(MemberIndex, KnowsWhoClaimsAShardNow)
+TEST(MemberIndex, KnowsTheCurrentClaimantsOfAShard)
 {
   MemberIndex index;
   MemberView view = member("a", "z1");
-  view.shards = { { north, 1 }, { south, 2 } };
+  view.shards = { { firstShard, 1 }, { secondShard, 2 } };
   index.put(view);
-  EXPECT_EQ(index.claimants(north).count(view.id), 1u);
-  view.shards = { { south, 3 } };
+  EXPECT_EQ(index.claimants(firstShard).count(view.id), 1u);
+  view.shards = { { secondShard, 3 } };
   index.put(view);
-  EXPECT_TRUE(index.claimants(north).empty());
-  ASSERT_EQ(index.claimants(south).count(view.id), 1u);
-  EXPECT_EQ(index.claimants(south).at(view.id)->shards.at(south), 3u);
+  EXPECT_TRUE(index.claimants(firstShard).empty());
+  ASSERT_EQ(index.claimants(secondShard).count(view.id), 1u);
+  EXPECT_EQ(index.claimants(secondShard).at(view.id)->shards.at(secondShard),
+            3u);
   index.erase(view.id);
-  EXPECT_TRUE(index.claimants(south).empty());
+  EXPECT_TRUE(index.claimants(secondShard).empty());
   EXPECT_EQ(index.find(view.id), nullptr);
 }
 
-TEST(MemberIndex, AZoneIsThereWhileAMemberOfItStays)
+TEST(MemberIndex, AZoneIsActiveWhileAMemberOfItIsNotLeaving)
 {
   MemberIndex index;
   index.put(member("a", "z1"));
@@ -42,12 +43,13 @@
   MemberView leaving = member("a", "z1");
   leaving.isLeaving = true;
   index.put(leaving);
-  EXPECT_TRUE(index.hasZone(ZoneName("z1")));
+  EXPECT_TRUE(index.hasActiveMember(ZoneName("z1")));
   index.erase(VmId("b"));
-  EXPECT_FALSE(index.hasZone(ZoneName("z1")));
+  EXPECT_FALSE(index.hasActiveMember(ZoneName("z1")));
   index.put(member("a", "z2"));
-  EXPECT_TRUE(index.hasZone(ZoneName("z2"))) << "it is back in another zone";
-  EXPECT_FALSE(index.hasZone(ZoneName("z1")));
+  EXPECT_TRUE(index.hasActiveMember(ZoneName("z2")))
+    << "the member is back in another zone";
+  EXPECT_FALSE(index.hasActiveMember(ZoneName("z1")));
 }
 
 } // namespace
