--- a/src/libpeers/peercodec.cpp
+++ b/src/libpeers/peercodec.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-/// Raised with every change that an older daemon can't read.
+/// Raised with every change to the format that an older daemon can't read.
 constexpr int formatVersion = 9;
 
 json
@@ -36,7 +36,7 @@
 }
 
 json
-toJson(const PeerKnown& message)
+toJson(const PeerAddresses& message)
 {
   return json::array({ toJson(message.known) });
 }
@@ -236,7 +236,7 @@
 json
 toJson(const PeerConfigPart& part)
 {
-  // A part may end within a character, so that it is no text.
+  // Sent as binary because a part may end within a UTF-8 character.
   return json::array(
     { part.version,
       part.size,
@@ -545,7 +545,7 @@
     case 6:
       return readTasksReturned(value);
     case 7:
-      return PeerKnown{ readAddresses(value.at(0)) };
+      return PeerAddresses{ readAddresses(value.at(0)) };
     case 8:
       return PeerConfigRequest{ value.at(0).get<std::uint64_t>(),
                                 value.at(1).get<std::uint64_t>(),
--- a/src/libpeers/peercodec.h
+++ b/src/libpeers/peercodec.h
@@ -10,12 +10,12 @@
 
 namespace cowslippin {
 
-/// Writes a message as CBOR: an array of its kind and its members in their
-/// order.
+/// Encodes a message as CBOR: an array of the message's index in `PeerMessage`
+/// and the array of its members in their order.
 std::vector<std::uint8_t>
 encodePeerMessage(const PeerMessage& message);
 
-/// Reads a message; a problem tells what is wrong with the bytes.
+/// Decodes a message; the problem describes what is wrong with the bytes.
 Result<PeerMessage>
 decodePeerMessage(const std::string& bytes);
 
--- a/src/libpeers/peerlinks.cpp
+++ b/src/libpeers/peerlinks.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-/// The largest are jobs of 2,000 tasks, some 20 KB, and parts of a
-/// configuration, 32 KB. A message delays the heartbeats behind it, so nothing
-/// large may be one.
+/// The largest messages are jobs of 2,000 tasks, about 20 KB, and parts of a
+/// configuration, 32 KB. A message delays the heartbeats queued behind it, so
+/// no message may be large.
 constexpr std::size_t maxMessageBytes = std::size_t(1) << 20;
 constexpr std::size_t maxBufferedBytes = std::size_t(8) << 20;
-/// How much later than the other side the one with the higher address dials.
+/// How much later the daemon with the higher address dials.
 constexpr Duration secondDialDelay = std::chrono::milliseconds(400);
-/// How long a connection that isn't kept stays open: longer than greetings are
-/// on their way, also between machines that have just started.
-constexpr Duration retireTime = std::chrono::milliseconds(1000);
-/// A daemon that has just started dials everyone: the others may be waiting
-/// before they try its address again.
-constexpr Duration startTime = std::chrono::milliseconds(1000);
+/// How long a duplicate connection stays open: longer than `PeerHello` messages
+/// are in transit, also between machines that have just started.
+constexpr Duration retireDelay = std::chrono::milliseconds(1000);
+/// A daemon that started less than this ago dials everyone, because the others
+/// may be waiting before they retry its address.
+constexpr Duration startupTime = std::chrono::milliseconds(1000);
 
 WebSocketTransport::Settings
 transportSettings(const PeerLinks::Settings& settings)
@@ -72,7 +72,7 @@
     return;
   found->second.lastUp = now;
   found->second.nextDialAt = now;
-  if (address < m_self.address && now - m_startedAt > startTime)
+  if (address < m_self.address && now - m_startedAt > startupTime)
     found->second.nextDialAt = now + secondDialDelay;
 }
 
@@ -112,7 +112,7 @@
     link->silence.setClose(isClose, now);
 }
 
-/// Null if there is no connection.
+/// Returns null if there is no connection.
 PeerLinks::Link*
 PeerLinks::linkTo(const VmId& vm)
 {
@@ -181,13 +181,13 @@
     m_addresses.erase(m_peers.at(address).vm);
     m_peers.erase(address);
   }
-  dialDue(now);
+  dialDuePeers(now);
 }
 
-/// Begins with the addresses after the own one, so that not everybody dials the
-/// same daemons first.
+/// Dials due peers, starting with the addresses after this daemon's own, so
+/// that not all daemons dial the same ones first.
 void
-PeerLinks::dialDue(TimePoint now)
+PeerLinks::dialDuePeers(TimePoint now)
 {
   auto dialling = static_cast<std::size_t>(
     std::count_if(m_peers.begin(), m_peers.end(), [](const auto& item) {
@@ -197,7 +197,7 @@
     for (auto item = first; item != last; ++item) {
       auto& [address, peer] = *item;
       const bool isDue = !peer.link && !peer.dialled && now >= peer.nextDialAt;
-      if (!isDue || dialling >= m_settings.maxDialling)
+      if (!isDue || dialling >= m_settings.maxConcurrentDials)
         continue;
       dial(address, peer, now);
       ++dialling;
@@ -249,10 +249,10 @@
     return;
   }
   if (const auto* hello = std::get_if<PeerHello>(&*message)) {
-    greeted(link, *hello);
+    helloReceived(link, *hello);
     return;
   }
-  if (const auto* news = std::get_if<PeerKnown>(&*message)) {
+  if (const auto* news = std::get_if<PeerAddresses>(&*message)) {
     for (const Address& address : news->known)
       addKnown(address, steadyNow());
     return;
@@ -267,8 +267,8 @@
   m_hooks.received(peer->second.vm, *message);
 }
 
-/// Whether a job comes over a connection that isn't kept. The sender takes such
-/// a job for lost with the connection, and would not cancel it here.
+/// Whether a job was received over a retired connection. The sender takes such
+/// a job for lost with the connection and would not cancel it here.
 bool
 PeerLinks::isRetiredSubmit(const Peer& peer,
                            LinkId link,
@@ -302,7 +302,7 @@
 }
 
 void
-PeerLinks::greeted(LinkId link, const PeerHello& hello)
+PeerLinks::helloReceived(LinkId link, const PeerHello& hello)
 {
   const TimePoint now = steadyNow();
   addKnown(hello.address, now);
@@ -317,14 +317,14 @@
   }
   const bool haveBothDialled = peer.link &&
                                peer.incarnation == hello.incarnation &&
-                               isOfOtherSide(peer, link);
+                               isDialledByOtherSide(peer, link);
   m_links[link].peer = hello.address;
   if (haveBothDialled && !isPreferred(link, hello.address)) {
     retire(link, now);
     return;
   }
-  // What is under way on the other connection may come after what follows on
-  // this one, which matters only where there are jobs in common.
+  // Messages in transit on the other connection may arrive after those that
+  // follow on this one, which matters only if the two daemons share jobs.
   if (haveBothDialled && !m_links.at(*peer.link).silence.isClose())
     retire(*peer.link, now);
   else if (peer.link)
@@ -341,19 +341,19 @@
               { { "peer", hello.vm },
                 { "zone", hello.zone },
                 { "incarnation", hello.incarnation } });
-  tellUnknown(link, hello);
+  sendUnknownAddresses(link, hello);
   m_hooks.up(hello);
 }
 
-/// Names the daemons that the other one doesn't know of. It connects to them by
-/// itself: telling all others of it would be as many messages as there are
-/// pairs of daemons, for each that starts.
+/// Sends the addresses that the other daemon doesn't know. It connects to them
+/// by itself: telling all others of each daemon that starts would take as many
+/// messages as there are pairs of daemons.
 void
-PeerLinks::tellUnknown(LinkId link, const PeerHello& hello)
+PeerLinks::sendUnknownAddresses(LinkId link, const PeerHello& hello)
 {
   std::set<Address> known(hello.known.begin(), hello.known.end());
   known.insert(hello.address);
-  PeerKnown news;
+  PeerAddresses news;
   for (const auto& [address, peer] : m_peers) {
     if (known.count(address) == 0)
       news.known.push_back(address);
@@ -362,29 +362,30 @@
     write(link, news);
 }
 
-/// Whether the connection was dialled by the side that hasn't dialled the
-/// present one. A second one from the same side means that it has given up the
+/// Whether this connection and the current one were dialled by different sides.
+/// A second connection from the same side means that this side has given up the
 /// first.
 bool
-PeerLinks::isOfOtherSide(const Peer& peer, LinkId link) const
+PeerLinks::isDialledByOtherSide(const Peer& peer, LinkId link) const
 {
   return m_links.at(link).isDialled != m_links.at(*peer.link).isDialled;
 }
 
-/// Two daemons may dial each other at the same time. Both keep the connection
-/// that the one with the lower address dialled.
+/// Whether this connection is the one to keep. Two daemons may dial each other
+/// at the same time; both keep the connection that the one with the lower
+/// address dialled.
 bool
 PeerLinks::isPreferred(LinkId link, const Address& address) const
 {
   return m_links.at(link).isDialled == (m_self.address < address);
 }
 
-/// The other side may not have seen yet which connection is kept: to drop this
-/// one at once would look like a loss.
+/// Keeps a duplicate connection open for a while. The other side may not know
+/// yet which connection is kept, and would take an immediate drop for a loss.
 void
 PeerLinks::retire(LinkId link, TimePoint now)
 {
-  m_retired.emplace_back(link, now + retireTime);
+  m_retired.emplace_back(link, now + retireDelay);
 }
 
 void
--- a/src/libpeers/peerlinks.h
+++ b/src/libpeers/peerlinks.h
@@ -16,33 +16,33 @@
 
 namespace cowslippin {
 
-/// Keeps a WebSocket connection to every other daemon that is known. Daemons
-/// tell each other whom they know. The one with the lower address dials; the
-/// other does so as well if it hears nothing. Everything runs on the thread of
-/// the I/O context.
+/// Keeps a WebSocket connection to every other known daemon. Daemons exchange
+/// the addresses that they know. Of two daemons the one with the lower address
+/// dials; the other one dials too if it hears nothing. Everything runs on the
+/// thread of the I/O context.
 class PeerLinks
 {
 public:
   struct Settings
   {
-    /// When a connection over which nothing comes is given up.
+    /// When a silent connection is given up.
     SilenceWatch::Settings silence;
-    /// How long a new connection may take, its greeting included.
+    /// Timeout of a new connection, its `PeerHello` included.
     Duration connectTimeout = std::chrono::milliseconds(600);
-    /// Connections that are being made at a time: a large group that starts all
-    /// at once would else make none within the timeout.
-    std::size_t maxDialling = 24;
+    /// Limit of connections being established at the same time. Without it, a
+    /// large group that starts at once would establish none within the timeout.
+    std::size_t maxConcurrentDials = 24;
     Duration reconnectMin = std::chrono::milliseconds(150);
     Duration reconnectMax = std::chrono::milliseconds(1200);
-    /// Where to listen, if not at the host that others connect to: that may be
-    /// the address of a relay.
+    /// Host to listen on if it differs from the host that others connect to,
+    /// which may be the address of a relay.
     std::string listenHost;
-    /// A daemon that could not be reached for so long is forgotten unless the
+    /// An address that could not be reached for this long is removed unless the
     /// platform still lists it.
     Duration forgetAfter = std::chrono::seconds(30);
   };
 
-  /// None may be empty.
+  /// No hook may be empty.
   struct Hooks
   {
     std::function<void(const PeerHello&)> up;
@@ -58,25 +58,25 @@
   /// Listens at the daemon's own address.
   std::optional<Problem> listen();
 
-  /// Adds a daemon to be connected with.
+  /// Adds the address of a daemon to connect to.
   void addKnown(const Address& address, TimePoint now);
   std::size_t knownCount() const { return m_peers.size(); }
 
-  /// False if there is no connection.
+  /// Returns false if there is no connection.
   bool send(const VmId& vm, const PeerMessage& message);
-  /// To those of them that there is a connection to.
+  /// Sends a message to those of the daemons that are connected.
   void sendToEach(const std::vector<VmId>& vms, const PeerMessage& message);
-  /// Whether there are jobs in common with a daemon, so that its loss has to be
-  /// noticed soon.
+  /// Sets whether this daemon shares jobs with another one, so that it has to
+  /// notice the other's loss soon.
   void setClose(const VmId& vm, bool isClose, TimePoint now);
   bool isUp(const VmId& vm) const;
   std::set<VmId> up() const;
 
-  /// Drops every connection, as after a pause of the process.
+  /// Drops every connection, for example after the process was paused.
   void dropAll(TimePoint now);
-  /// Dials and gives silent connections up; to be called every 20 ms or so.
+  /// Dials daemons and gives up silent connections; to be called about every 20
+  /// ms.
   void tick(TimePoint now);
-  /// Closes every connection.
   void close();
 
 private:
@@ -93,7 +93,7 @@
   };
   struct Link
   {
-    /// Empty until the peer has greeted.
+    /// Empty until the peer's `PeerHello` was received.
     std::optional<Address> peer;
     SilenceWatch silence;
     bool isDialled = false;
@@ -106,15 +106,15 @@
                        LinkId link,
                        const PeerMessage& message) const;
   void closed(LinkId link);
-  void greeted(LinkId link, const PeerHello& hello);
-  bool isOfOtherSide(const Peer& peer, LinkId link) const;
+  void helloReceived(LinkId link, const PeerHello& hello);
+  bool isDialledByOtherSide(const Peer& peer, LinkId link) const;
   bool isPreferred(LinkId link, const Address& address) const;
   void retire(LinkId link, TimePoint now);
   void dropRetired(TimePoint now);
   void lost(Peer& peer, PeerLoss loss, TimePoint now);
   Link* linkTo(const VmId& vm);
-  void tellUnknown(LinkId link, const PeerHello& hello);
-  void dialDue(TimePoint now);
+  void sendUnknownAddresses(LinkId link, const PeerHello& hello);
+  void dialDuePeers(TimePoint now);
   void dial(const Address& address, Peer& peer, TimePoint now);
   void dialFailed(Peer& peer, TimePoint now);
   void write(LinkId link, const PeerMessage& message);
@@ -128,7 +128,7 @@
   std::map<Address, Peer> m_peers;
   std::map<VmId, Address> m_addresses;
   std::map<LinkId, Link> m_links;
-  /// Connections that aren't kept, and when each is dropped.
+  /// Duplicate connections that aren't used any more, and when each is dropped.
   std::deque<std::pair<LinkId, TimePoint>> m_retired;
 };
 
--- a/src/libpeers/peermessage.h
+++ b/src/libpeers/peermessage.h
@@ -15,26 +15,26 @@
 /// How a connection to another daemon ended.
 enum class PeerLoss
 {
-  /// It was closed or reset, so that the loss is known at once.
+  /// The connection was closed or reset, so that the loss is known at once.
   Closed,
-  /// Nothing came over it for the silence limit.
+  /// Nothing was received for the silence limit.
   Silent,
 };
 
-/// The first message on a connection, both ways.
+/// The first message on a connection, sent by both sides.
 struct PeerHello
 {
   VmId vm;
   Incarnation incarnation;
   ZoneName zone;
-  /// Where the daemon accepts connections.
+  /// Address at which the daemon accepts connections.
   Address address;
-  /// Other daemons that it knows of.
+  /// Addresses of other daemons that the sender knows.
   std::vector<Address> known;
 };
 
-/// Daemons that the sender has come to know since it greeted.
-struct PeerKnown
+/// Addresses of daemons that the receiver doesn't know yet.
+struct PeerAddresses
 {
   std::vector<Address> known;
 };
@@ -43,9 +43,9 @@
 struct HeldShard
 {
   std::uint64_t token = 0;
-  /// Places that are free on its workers.
+  /// Free places on the shard's workers.
   unsigned places = 0;
-  /// Which workers its holder knows of.
+  /// Digest of the workers that the holder knows.
   ShardDigest workers = 0;
 
   friend bool operator==(const HeldShard& a, const HeldShard& b)
@@ -54,12 +54,13 @@
   }
 };
 
-/// A job of a daemon's caller that has been under way for a while.
+/// A job that a daemon's caller submitted and that has been in progress for a
+/// while.
 struct LongJob
 {
   JobId job;
-  /// Since its caller's request arrived; zero if it was given up and its runs
-  /// may still be stopping.
+  /// Time since the caller's request arrived; zero if the caller gave the job
+  /// up and its runs may still be stopping.
   Duration age = Duration::zero();
 
   friend bool operator==(const LongJob& a, const LongJob& b)
@@ -72,42 +73,46 @@
   }
 };
 
-/// Sent at short intervals, and at once when the shards or `isLeaving` change.
+/// Heartbeat. Sent at short intervals, and at once when the shards or
+/// `isLeaving` change.
 struct PeerBeat
 {
   bool isLeaving = false;
   bool isReady = false;
-  /// The daemon has too little processor time for what it does.
+  /// The sender gets too little processor time for its work.
   bool isStrained = false;
-  /// How slow its machine is: the logarithm of what a fixed work takes.
+  /// How slow the sender's machine is: the logarithm of the time that a fixed
+  /// amount of work takes.
   int slowness = 0;
-  /// It has started only just now.
+  /// The sender has started only shortly before.
   bool isNew = false;
-  /// How many workers it can hold.
+  /// How many workers the sender can hold.
   std::size_t carried = 1;
   std::map<ShardId, HeldShard> shards;
-  /// The highest token that it knows of.
+  /// The highest fencing token that the sender knows.
   std::uint64_t highestToken = 0;
-  /// The version of the configuration in force there.
+  /// Version of the configuration in force at the sender.
   std::uint64_t configVersion = 0;
   Evacuations evacuations;
-  /// Within what time the next one follows.
+  /// Time within which the next heartbeat follows.
   Duration nextWithin = Duration::zero();
-  /// By the sender's steady clock, which others only send back.
+  /// Send time by the sender's steady clock, which receivers only send back.
   std::int64_t sentAt = 0;
-  /// All of the sender's.
+  /// All long-running jobs of the sender's callers.
   std::vector<LongJob> longJobs;
-  /// Whether this is to be acknowledged at once, for the sake of `longJobs`.
+  /// Whether the receiver has to acknowledge the heartbeat at once, for the
+  /// sake of `longJobs`.
   bool asksAck = false;
 };
 
-/// Sent to daemons that have jobs of this one. Both times are as in the
-/// heartbeat; 0 if there was none.
+/// Acknowledges heartbeats; sent to daemons that hold jobs of the sender. Both
+/// times are `sentAt` of a heartbeat, or 0 if there was none.
 struct PeerBeatAck
 {
-  /// The newest that was read before a whole round of the event loop.
+  /// Of the newest heartbeat that was received before a complete iteration of
+  /// the event loop.
   std::int64_t settled = 0;
-  /// The newest that was read.
+  /// Of the newest heartbeat that was received.
   std::int64_t newest = 0;
 
   friend bool operator==(const PeerBeatAck& a, const PeerBeatAck& b)
@@ -120,81 +125,85 @@
   }
 };
 
-/// Asks a holder to get a job, or a part of one, done.
+/// Submits a job, or a part of one, to a holder.
 struct PeerSubmit
 {
   JobRequest request;
   PeerBeatAck ack = {};
-  /// How long before this was sent the newest heartbeat in `ack` was read.
+  /// Time between the receipt of the newest heartbeat in `ack` and the sending
+  /// of this message.
   Duration ackAge = Duration::zero();
 };
 
-/// What has become of a job that was submitted.
+/// Outcome of a submitted job.
 struct PeerJobEnd
 {
   JobKey key;
   JobEnd end;
 };
 
-/// Tasks that a holder has no room for.
+/// Returns tasks that a holder has no capacity for.
 struct PeerTasksReturned
 {
   JobKey key;
   TasksReturned returned;
 };
 
-/// The caller of a job is gone.
+/// Cancels a job whose caller is gone.
 struct PeerCancel
 {
   JobKey key;
 };
 
-/// Other daemons have been told of a job: see `JobRequest::exclusiveFor`.
+/// Reports that other daemons have been informed of a job: see
+/// `JobRequest::exclusiveFor`.
 struct PeerKeep
 {
   JobKey key;
 };
 
-/// The caller of a job has submitted it to the sender again: asks a daemon that
-/// has told of the job to stop it.
+/// Asks a daemon that has advertised a job to stop it, because the caller has
+/// submitted the job to the sender again.
 struct PeerRecall
 {
   JobId job;
-  /// Of the sender's submission. One that is younger isn't stopped for it.
+  /// Age of the sender's submission. A younger submission isn't stopped.
   Duration age = Duration::zero();
 };
 
-/// What was recalled is being stopped, or was not there any more.
+/// Answers a recall: the job is being stopped or was not there any more.
 struct PeerRecalled
 {
   JobId job;
-  /// After this all that ran of it is surely over.
+  /// Time after which all runs of the job have ended.
   Duration overIn = Duration::zero();
 };
 
-/// Asks a daemon that told of a newer configuration for a part of it.
+/// Requests a part of a configuration from a daemon that has advertised a newer
+/// version.
 struct PeerConfigRequest
 {
-  /// The version of which parts have come; 0 if there are none.
+  /// Version of which parts were received; 0 if there are none.
   std::uint64_t version = 0;
-  /// How many bytes of it have come.
+  /// Number of bytes of this version that were received.
   std::uint64_t offset = 0;
-  /// How long the next part may be, in bytes.
+  /// Size limit of the next part, in bytes.
   std::uint64_t maxBytes = 0;
 };
 
-/// Bytes of a configuration as the platform has it: of the version that was
-/// asked for or, from the first byte on, of another.
+/// Bytes of a configuration in the form in which the platform stores it: of the
+/// requested version or, starting at the first byte, of another version.
 struct PeerConfigPart
 {
   std::uint64_t version = 0;
-  /// Of the whole configuration, in bytes.
+  /// Size of the whole configuration, in bytes.
   std::uint64_t size = 0;
   std::uint64_t offset = 0;
   std::string bytes;
 };
 
-/// The daemon that was asked sends its configuration to others just now.
+/// Refuses a configuration request, because the sender is sending its
+/// configuration to others.
 struct PeerConfigBusy
 {
   friend bool operator==(const PeerConfigBusy&, const PeerConfigBusy&)
@@ -203,15 +212,15 @@
   }
 };
 
-/// Changes of the platform's list of workers, as a daemon that reads it passes
-/// them on to others of its zone.
+/// Changes of the platform's list of workers, forwarded by a daemon that reads
+/// the list to others of its zone.
 struct PeerWorkerNews
 {
-  /// The part of the platform's log that they were read from.
+  /// Range of the platform's log that the changes were read from.
   std::uint64_t from = 0;
   std::uint64_t end = 0;
-  /// By id, the entries that tell something new as the platform has them; an
-  /// empty one was removed.
+  /// Changed entries by worker id, in the form in which the platform stores
+  /// them; an empty entry was removed.
   std::map<std::string, std::string> entries;
 
   friend bool operator==(const PeerWorkerNews& a, const PeerWorkerNews& b)
@@ -220,7 +229,7 @@
   }
 };
 
-/// Starts that workers didn't answer. Sent to all daemons, as a caller may
+/// Starts that workers didn't answer. Sent to all daemons, because a caller may
 /// submit a job again at any of them.
 struct PeerUnresolvedStarts
 {
@@ -228,7 +237,7 @@
   {
     RunKey key;
     WorkerId worker;
-    /// For how long the worker may still carry it out.
+    /// How much longer the worker may still carry out the start.
     Duration remaining = Duration::zero();
 
     friend bool operator==(const Start& a, const Start& b)
@@ -249,7 +258,7 @@
                                  PeerCancel,
                                  PeerConfigPart,
                                  PeerTasksReturned,
-                                 PeerKnown,
+                                 PeerAddresses,
                                  PeerConfigRequest,
                                  PeerConfigBusy,
                                  PeerWorkerNews,
--- a/src/libpeers/silencewatch.h
+++ b/src/libpeers/silencewatch.h
@@ -6,55 +6,58 @@
 
 namespace cowslippin {
 
-/// Tells when a connection to another daemon has been silent for too long. It
-/// reads no clock.
+/// Detects that a connection to another daemon has been silent for too long.
+/// The class reads no clock.
 ///
-/// A peer tells with each heartbeat within what time the next one comes. One
-/// with which this daemon has jobs in common is held to the short interval,
-/// from the moment on in which the first of them was handed over.
+/// Each heartbeat of a peer announces within what time the next one follows. A
+/// peer that shares jobs with this daemon is held to the short interval
+/// instead, from the moment the first of these jobs is handed over.
 class SilenceWatch
 {
 public:
   struct Settings
   {
-    /// Three heartbeats at the short interval are sent in that time. It is
+    /// Silence limit of a peer that shares jobs with this daemon. Three
+    /// heartbeats at the short interval are sent in that time. The limit is
     /// part of the sum that ends runs before a caller submits again.
     Duration closeLimit = std::chrono::milliseconds(450);
-    /// How late a heartbeat may come: as late as at the short interval.
+    /// How late an announced heartbeat may be received: as late as at the short
+    /// interval.
     Duration lateness = std::chrono::milliseconds(310);
   };
 
   SilenceWatch() = default;
   explicit SilenceWatch(TimePoint now)
-    : m_lastHeard(now)
+    : m_lastReceivedAt(now)
   {
   }
 
-  void heard(TimePoint now) { m_lastHeard = now; }
-  void promised(Duration nextWithin) { m_nextWithin = nextWithin; }
+  void heard(TimePoint now) { m_lastReceivedAt = now; }
+  void promised(Duration nextWithin) { m_nextHeartbeatWithin = nextWithin; }
   void setClose(bool isClose, TimePoint now)
   {
-    if (isClose && !m_isClose)
-      m_closeSince = now;
-    m_isClose = isClose;
+    if (isClose && !m_sharesJobs)
+      m_sharesJobsSince = now;
+    m_sharesJobs = isClose;
   }
 
-  bool isClose() const { return m_isClose; }
+  bool isClose() const { return m_sharesJobs; }
 
   bool isSilent(const Settings& settings, TimePoint now) const
   {
-    if (m_isClose)
-      return now - std::max(m_lastHeard, m_closeSince) > settings.closeLimit;
+    if (m_sharesJobs)
+      return now - std::max(m_lastReceivedAt, m_sharesJobsSince) >
+             settings.closeLimit;
     const Duration limit =
-      std::max(settings.closeLimit, m_nextWithin + settings.lateness);
-    return now - m_lastHeard > limit;
+      std::max(settings.closeLimit, m_nextHeartbeatWithin + settings.lateness);
+    return now - m_lastReceivedAt > limit;
   }
 
 private:
-  TimePoint m_lastHeard{};
-  Duration m_nextWithin = Duration::zero();
-  bool m_isClose = false;
-  TimePoint m_closeSince{};
+  TimePoint m_lastReceivedAt{};
+  Duration m_nextHeartbeatWithin = Duration::zero();
+  bool m_sharesJobs = false;
+  TimePoint m_sharesJobsSince{};
 };
 
 } // namespace cowslippin
--- a/tests/peers/peercodec_test.cpp
+++ b/tests/peers/peercodec_test.cpp
@@ -9,7 +9,7 @@
 
 template<class Part>
 Part
-throughTheWire(const Part& part)
+roundTrip(const Part& part)
 {
   const auto bytes = encodePeerMessage(part);
   const Result<PeerMessage> read =
@@ -56,7 +56,7 @@
 TEST(PeerCodec, CarriesEveryMemberOfASubmission)
 {
   const JobRequest sent = request();
-  const JobRequest read = throughTheWire(PeerSubmit{ sent }).request;
+  const JobRequest read = roundTrip(PeerSubmit{ sent }).request;
   EXPECT_EQ(read.key, sent.key);
   EXPECT_EQ(read.policy.queue, sent.policy.queue);
   EXPECT_EQ(read.policy.service, sent.policy.service);
@@ -87,22 +87,23 @@
   EXPECT_EQ(read.exclusiveFor, sent.exclusiveFor);
 }
 
-/// Guards against a job that is kept by its gateway and ends at its holder.
-TEST(PeerCodec, CarriesAJobWithoutALimitToItsBeingExclusive)
+/// Guards against a job that its gateway has made exclusive without limit and
+/// that ends at its holder.
+TEST(PeerCodec, CarriesAJobThatIsExclusiveWithoutLimit)
 {
   JobRequest sent = request();
   sent.exclusiveFor = Duration::max();
-  EXPECT_EQ(throughTheWire(PeerSubmit{ sent }).request.exclusiveFor,
+  EXPECT_EQ(roundTrip(PeerSubmit{ sent }).request.exclusiveFor,
             Duration::max());
 }
 
-/// Guards against a job whose caller's time has passed on the way to its
-/// holder and that counts as fresh there.
+/// Guards against a holder that takes a job for fresh although its caller's
+/// time passed in transit.
 TEST(PeerCodec, CarriesAJobThatIsNoLongerExclusive)
 {
   JobRequest sent = request();
   sent.exclusiveFor = std::chrono::milliseconds(-20);
-  EXPECT_EQ(throughTheWire(PeerSubmit{ sent }).request.exclusiveFor,
+  EXPECT_EQ(roundTrip(PeerSubmit{ sent }).request.exclusiveFor,
             sent.exclusiveFor);
 }
 
@@ -110,7 +111,7 @@
 {
   JobRequest sent = request();
   sent.quarantine->lastHolders.reset();
-  const JobRequest read = throughTheWire(PeerSubmit{ sent }).request;
+  const JobRequest read = roundTrip(PeerSubmit{ sent }).request;
   ASSERT_TRUE(read.quarantine);
   EXPECT_FALSE(read.quarantine->lastHolders);
   EXPECT_EQ(read.quarantine->remaining, sent.quarantine->remaining);
@@ -119,25 +120,25 @@
 TEST(PeerCodec, CarriesAcknowledgementsOfHeartbeats)
 {
   const PeerBeatAck ack{ 1200300400500, 1200300400600 };
-  EXPECT_EQ(throughTheWire(ack), ack);
+  EXPECT_EQ(roundTrip(ack), ack);
   const Duration age = std::chrono::milliseconds(90);
-  const PeerSubmit submit = throughTheWire(PeerSubmit{ request(), ack, age });
+  const PeerSubmit submit = roundTrip(PeerSubmit{ request(), ack, age });
   EXPECT_EQ(submit.ack, ack);
   EXPECT_EQ(submit.ackAge, age);
 }
 
-/// Guards against a job that runs twice as its keep, recall or the answer says
-/// something else to the reader.
+/// Guards against a job that runs twice because the reader takes its keep, its
+/// recall or the answer for something else.
 TEST(PeerCodec, CarriesKeepsRecallsAndTheirAnswers)
 {
   const JobKey key(VmId("vm-1"), JobId("j"), 4);
-  EXPECT_EQ(throughTheWire(PeerKeep{ key }).key, key);
+  EXPECT_EQ(roundTrip(PeerKeep{ key }).key, key);
   const auto recall =
-    throughTheWire(PeerRecall{ JobId("j"), std::chrono::milliseconds(7) });
+    roundTrip(PeerRecall{ JobId("j"), std::chrono::milliseconds(7) });
   EXPECT_EQ(recall.job, JobId("j"));
   EXPECT_EQ(recall.age, std::chrono::milliseconds(7));
   const Duration overIn = std::chrono::milliseconds(1270);
-  const PeerRecalled read = throughTheWire(PeerRecalled{ JobId("j"), overIn });
+  const PeerRecalled read = roundTrip(PeerRecalled{ JobId("j"), overIn });
   EXPECT_EQ(read.job, JobId("j"));
   EXPECT_EQ(read.overIn, overIn);
 }
@@ -148,16 +149,16 @@
     { { RunKey("job.0.0.1", 2), WorkerId("w1"), std::chrono::seconds(12) },
       { RunKey("job.0.0.7", 1), WorkerId("w2"), std::chrono::seconds(9) } }
   };
-  EXPECT_EQ(throughTheWire(sent).starts, sent.starts);
+  EXPECT_EQ(roundTrip(sent).starts, sent.starts);
 }
 
-TEST(PeerCodec, CarriesNewsOfWorkers)
+TEST(PeerCodec, CarriesChangesOfWorkers)
 {
   const PeerWorkerNews news{ 7, 9, { { "w1", "{}" }, { "w2", "" } } };
-  EXPECT_EQ(throughTheWire(news), news);
+  EXPECT_EQ(roundTrip(news), news);
 }
 
-TEST(PeerCodec, CarriesGreetingsAndBeats)
+TEST(PeerCodec, CarriesHellosAndHeartbeats)
 {
   PeerHello hello;
   hello.vm = VmId("vm-1");
@@ -165,7 +166,7 @@
   hello.zone = ZoneName("z1");
   hello.address = Address("10.0.0.1", 7720);
   hello.known = { Address("10.0.0.2", 7720) };
-  const PeerHello readHello = throughTheWire(hello);
+  const PeerHello readHello = roundTrip(hello);
   EXPECT_EQ(readHello.vm, hello.vm);
   EXPECT_EQ(readHello.incarnation, hello.incarnation);
   EXPECT_EQ(readHello.zone, hello.zone);
@@ -187,7 +188,7 @@
   beat.longJobs = { { JobId("j"), std::chrono::milliseconds(700) },
                     { JobId("given-up"), Duration::zero() } };
   beat.asksAck = true;
-  const PeerBeat readBeat = throughTheWire(beat);
+  const PeerBeat readBeat = roundTrip(beat);
   EXPECT_EQ(readBeat.evacuations, beat.evacuations);
   EXPECT_EQ(readBeat.sentAt, beat.sentAt);
   EXPECT_EQ(readBeat.longJobs, beat.longJobs);
@@ -212,7 +213,7 @@
   ended.end.done = { 1, 3 };
   ended.end.nextRun = 11;
   ended.end.underWay = { { 2, WorkerId("w1") }, { 5, WorkerId() } };
-  const PeerJobEnd readEnd = throughTheWire(ended);
+  const PeerJobEnd readEnd = roundTrip(ended);
   EXPECT_EQ(readEnd.key, key);
   EXPECT_EQ(readEnd.end.outcome, ended.end.outcome);
   EXPECT_EQ(readEnd.end.retryAfter, ended.end.retryAfter);
@@ -225,34 +226,34 @@
   back.returned.holder = VmId("vm-2");
   back.returned.shard = ShardId(ZoneName("z2"), 1);
   back.returned.nextRun = 3;
-  const PeerTasksReturned readBack = throughTheWire(back);
+  const PeerTasksReturned readBack = roundTrip(back);
   EXPECT_EQ(readBack.returned.tasks, back.returned.tasks);
   EXPECT_EQ(readBack.returned.holder, back.returned.holder);
   EXPECT_EQ(readBack.returned.shard, back.returned.shard);
   EXPECT_EQ(readBack.returned.nextRun, back.returned.nextRun);
 
   const std::vector<Address> known{ Address("10.0.0.3", 7720) };
-  EXPECT_EQ(throughTheWire(PeerKnown{ known }).known, known);
-  EXPECT_EQ(throughTheWire(PeerCancel{ key }).key, key);
+  EXPECT_EQ(roundTrip(PeerAddresses{ known }).known, known);
+  EXPECT_EQ(roundTrip(PeerCancel{ key }).key, key);
 }
 
 TEST(PeerCodec, CarriesPartsOfAConfiguration)
 {
-  const auto request = throughTheWire(PeerConfigRequest{ 9, 65536, 8192 });
+  const auto request = roundTrip(PeerConfigRequest{ 9, 65536, 8192 });
   EXPECT_EQ(request.version, 9u);
   EXPECT_EQ(request.offset, 65536u);
   EXPECT_EQ(request.maxBytes, 8192u);
-  // The first half of a character of two bytes.
+  // The first byte of a two-byte character.
   const std::string bytes = "{\"name\":\"\xc3";
-  const auto part = throughTheWire(PeerConfigPart{ 9, 900'000, 65536, bytes });
+  const auto part = roundTrip(PeerConfigPart{ 9, 900'000, 65536, bytes });
   EXPECT_EQ(part.version, 9u);
   EXPECT_EQ(part.size, 900'000u);
   EXPECT_EQ(part.offset, 65536u);
   EXPECT_EQ(part.bytes, bytes);
-  throughTheWire(PeerConfigBusy{});
+  roundTrip(PeerConfigBusy{});
 }
 
-TEST(PeerCodec, AGreetingInTheFormatWithoutDivisionsIsAProblem)
+TEST(PeerCodec, AHelloInAnEarlierFormatVersionIsAProblem)
 {
   const auto bytes = encodePeerMessage(PeerHello());
   nlohmann::json message =
@@ -271,7 +272,7 @@
 }
 
 void
-expectCutsAreProblems(const PeerMessage& whole)
+expectTruncationsAreProblems(const PeerMessage& whole)
 {
   const auto message = encodePeerMessage(whole);
   const std::string bytes(message.begin(), message.end());
@@ -281,20 +282,21 @@
   }
 }
 
-TEST(PeerCodec, ACutMessageIsAProblem)
+TEST(PeerCodec, ATruncatedMessageIsAProblem)
 {
   const JobId job("j");
   PeerBeat beat;
   beat.longJobs = { { job, std::chrono::milliseconds(700) } };
-  expectCutsAreProblems(PeerSubmit{ request() });
-  expectCutsAreProblems(beat);
-  expectCutsAreProblems(PeerKeep{ JobKey(VmId("vm-1"), job, 4) });
-  expectCutsAreProblems(PeerRecall{ job });
-  expectCutsAreProblems(PeerRecalled{ job, std::chrono::milliseconds(9) });
+  expectTruncationsAreProblems(PeerSubmit{ request() });
+  expectTruncationsAreProblems(beat);
+  expectTruncationsAreProblems(PeerKeep{ JobKey(VmId("vm-1"), job, 4) });
+  expectTruncationsAreProblems(PeerRecall{ job });
+  expectTruncationsAreProblems(
+    PeerRecalled{ job, std::chrono::milliseconds(9) });
 }
 
-/// Guards against a field that is left out and taken for zero: a recalled job
-/// would count as over.
+/// Guards against a missing field that is read as zero: a recalled job would
+/// count as ended.
 TEST(PeerCodec, AMessageWithoutItsLastFieldIsAProblem)
 {
   const JobId job("j");
--- a/tests/peers/silencewatch_test.cpp
+++ b/tests/peers/silencewatch_test.cpp
@@ -19,27 +19,28 @@
   SilenceWatch watch{ now };
 };
 
-TEST_F(SilenceWatchTest, WithoutAPromiseTheShortLimitHolds)
+TEST_F(SilenceWatchTest, TheShortLimitAppliesWithoutAnAnnouncedInterval)
 {
   EXPECT_FALSE(isSilentAfter(milliseconds(450)));
   EXPECT_TRUE(isSilentAfter(milliseconds(451)));
 }
 
-TEST_F(SilenceWatchTest, APeerThatPromisesALaterHeartbeatIsWaitedFor)
+TEST_F(SilenceWatchTest, WaitsForAPeerThatAnnouncesALaterHeartbeat)
 {
   watch.promised(milliseconds(840));
   EXPECT_FALSE(isSilentAfter(milliseconds(1150)));
   EXPECT_TRUE(isSilentAfter(milliseconds(1151)));
 }
 
-TEST_F(SilenceWatchTest, AClosePeerIsHeldToTheShortLimitFromThenOn)
+TEST_F(SilenceWatchTest, TheShortLimitAppliesOnceAPeerSharesJobs)
 {
   watch.promised(milliseconds(840));
   watch.setClose(true, now + milliseconds(700));
   EXPECT_FALSE(isSilentAfter(milliseconds(1150)));
   EXPECT_TRUE(isSilentAfter(milliseconds(1151)));
   watch.setClose(true, now + milliseconds(900));
-  EXPECT_TRUE(isSilentAfter(milliseconds(1151))) << "it was close before";
+  EXPECT_TRUE(isSilentAfter(milliseconds(1151)))
+    << "the peer shared jobs before";
   watch.setClose(false, now + milliseconds(1000));
   watch.heard(now + milliseconds(1000));
   EXPECT_FALSE(isSilentAfter(milliseconds(2150)));
