--- a/src/libworkers/workerhealth.cpp
+++ b/src/libworkers/workerhealth.cpp
@@ -4,6 +4,15 @@
 
 namespace cowslippin {
 
+namespace {
+
+/// An exclusion lowers the averages to these shares of their limits, because
+/// one good run on probation is better evidence than the runs before it.
+constexpr double failureShareOnProbation = 0.7;
+constexpr double slownessOnProbation = 0.9;
+
+} // namespace
+
 void
 WorkerHealth::ended(RunEnd end, double slowness, TimePoint now)
 {
@@ -49,10 +58,10 @@
                   : std::min(m_exclusion * 2, m_settings.maxExclusion);
   m_excludedUntil = now + m_exclusion;
   m_isOnProbation = true;
-  // Lowers both averages, because one good run on probation is better evidence
-  // than the runs before it.
-  m_failureShare = std::min(m_failureShare, m_settings.failureLimit * 0.7);
-  m_slowness = std::min(m_slowness, m_settings.slownessLimit * 0.9);
+  m_failureShare =
+    std::min(m_failureShare, m_settings.failureLimit * failureShareOnProbation);
+  m_slowness =
+    std::min(m_slowness, m_settings.slownessLimit * slownessOnProbation);
 }
 
 } // namespace cowslippin
