--- a/src/libentry/configurationfetch.cpp
+++ b/src/libentry/configurationfetch.cpp
@@ -43,7 +43,8 @@
   m_inForce = version;
   if (m_transfer && m_transfer->version <= version)
     m_transfer.reset();
-  // Where the platform keeps bringing them it has its head start for the next.
+  // If the platform keeps delivering configurations, its head start begins anew
+  // for the next one.
   if (isFromPlatform)
     m_behindSince.reset();
 }
@@ -109,7 +110,7 @@
   return whole;
 }
 
-/// The time that a part took sets the length of the next.
+/// Sets the size of the next part by the time that this one took.
 void
 ConfigurationFetch::answered(const VmId& vm, TimePoint now)
 {
@@ -123,8 +124,9 @@
     m_partBytes = std::max(m_partBytes / 2, m_settings.minPartBytes);
 }
 
-/// False if the part doesn't follow what has come: the answer to a request that
-/// was given up, or of a daemon that has something else as this version.
+/// Returns false if the part doesn't continue the transfer. It may answer a
+/// request that was given up, or come from a peer that has other content under
+/// the same version.
 bool
 ConfigurationFetch::append(const VmId& vm, const PeerConfigPart& part)
 {
@@ -146,15 +148,16 @@
   return true;
 }
 
-/// Asked again at once, a daemon that sends nothing of use would be asked as
-/// often as messages can pass.
+/// Delays the next request to the peer. Without the delay, a peer that sends
+/// nothing useful would be asked again in an endless loop, as fast as messages
+/// can pass.
 void
 ConfigurationFetch::refusePart(const VmId& vm,
                                const PeerConfigPart& part,
                                TimePoint now)
 {
   setAside(vm, now + m_settings.silentPause);
-  // The platform may have been quicker.
+  // The platform may have delivered this version in the meantime.
   if (part.version <= m_inForce)
     return;
   logEvent(LogLevel::Warning,
@@ -174,7 +177,7 @@
     peer->second.notBefore = until;
 }
 
-/// Whether a newer version is known and the platform has had its time.
+/// Whether a newer version is known and the platform has had its head start.
 bool
 ConfigurationFetch::isDue(TimePoint now, bool isArriving)
 {
@@ -210,8 +213,8 @@
   return false;
 }
 
-/// Who goes on with what has come, or, if nobody does, who has something newer
-/// than what is in force.
+/// The peer that can continue the transfer or, if there is none, one with a
+/// newer version than the one in force.
 std::optional<VmId>
 ConfigurationFetch::chooseSource(TimePoint now)
 {
@@ -225,8 +228,9 @@
   return source;
 }
 
-/// Of those that can be asked: the last one, the newest version, one of the own
-/// zone. A hash that differs from daemon to daemon spreads the rest.
+/// Ranks the peers that can be asked: the one that sent the last part, then the
+/// newest version, then the own zone, then a hash that differs from daemon to
+/// daemon and so spreads the requests.
 std::optional<VmId>
 ConfigurationFetch::bestSource(TimePoint now, bool mayRestart) const
 {
--- a/src/libentry/configurationfetch.h
+++ b/src/libentry/configurationfetch.h
@@ -12,54 +12,60 @@
 
 namespace cowslippin {
 
-/// Gets a newer configuration from other daemons where the platform doesn't
-/// bring it in time.
+/// Fetches a newer configuration from peers if the platform doesn't deliver it
+/// in time.
 ///
-/// It answers the moment in which all others have a configuration that this
-/// daemon lacks, on a link that is slow or busy. Who lacks it asks, one daemon
-/// at a time and for one part at a time, so that the link carries one part for
-/// it however many could send, and heartbeats pass between two parts. When
-/// everyone who was ahead sent the whole, 40 copies of 0.9 MB filled a link of
-/// 25 Mbit/s for as long as the daemon stayed behind, and it stayed behind for
-/// that reason. What has come is kept when a daemon is lost or gives no answer:
-/// another one with the same version goes on from there.
+/// This happens when all peers have a configuration that this daemon lacks, on
+/// a slow or busy link. The daemon asks one peer at a time for one part at a
+/// time. So the link carries one part at once however many peers could send,
+/// and heartbeats pass between two parts. An earlier design, in which every
+/// peer that was ahead sent the whole configuration, kept the daemon behind: 40
+/// copies of 0.9 MB filled its link of 25 Mbit/s for as long as it was behind.
+/// Received parts are kept when a peer is lost or doesn't answer, and another
+/// peer with the same version continues from there.
 class ConfigurationFetch
 {
 public:
   struct Settings
   {
     VmId self;
-    /// Daemons of this zone are asked first: bytes between zones cost more.
+    /// Peers of this zone are asked first, because traffic between zones costs
+    /// more.
     ZoneName zone;
-    /// How long the platform has for bringing it: 41 daemons that read 0.8 MB
-    /// at once have had it after 0.35 to 1.45 s.
+    /// How long to wait for the platform to deliver a known newer version: 41
+    /// daemons that read 0.8 MB at once had it after 0.35 to 1.45 s.
     Duration headStart = std::chrono::milliseconds(400);
-    /// The same where there is none yet, so that no caller is served: an answer
-    /// of the platform takes 4 ms, and up to 60 times as long when it is slow.
+    /// The same wait while no configuration is in force and so no caller is
+    /// served. A response of the platform takes 4 ms, and up to 60 times as
+    /// long when it is slow.
     Duration startHeadStart = std::chrono::milliseconds(100);
-    /// The same while its answer is on its way. A configuration has to be in
-    /// force 2 s after the platform has acknowledged it.
+    /// The same wait while a response of the platform is being received. A
+    /// configuration has to be in force 2 s after the platform has acknowledged
+    /// it.
     Duration arrivalTime = std::chrono::milliseconds(1000);
-    /// How long a daemon may take for a part: longer than the silence limit, so
-    /// that one that is lost is noticed as such.
+    /// Timeout for one part. It is longer than the silence limit, so that the
+    /// loss of a peer is detected as such.
     Duration answerTime = std::chrono::milliseconds(550);
-    /// Until a daemon is asked again that gave no answer, or one of no use.
+    /// How long a peer isn't asked again after it gave no answer or a useless
+    /// one.
     Duration silentPause = std::chrono::milliseconds(1000);
-    /// Until one is asked again that serves others: a few parts' time.
+    /// How long a peer isn't asked again when it is busy serving others: the
+    /// time of a few parts.
     Duration busyPause = std::chrono::milliseconds(100);
-    /// After one that could not be read.
+    /// How long no peer is asked after a configuration that could not be
+    /// parsed.
     Duration refusedPause = std::chrono::seconds(5);
-    /// A part is as long as passes in some tens of milliseconds, whatever the
-    /// link: heartbeats wait behind it, and three of them must come within the
-    /// silence limit of 450 ms between daemons.
+    /// The size of a part is chosen so that it passes in some tens of
+    /// milliseconds on any link. Heartbeats wait behind it, and three of them
+    /// must come within the silence limit of 450 ms between daemons.
     std::uint64_t firstPartBytes = std::uint64_t(8) << 10;
     std::uint64_t minPartBytes = std::uint64_t(2) << 10;
     std::uint64_t maxPartBytes = std::uint64_t(64) << 10;
-    /// A part that came sooner is followed by one twice as long, one that came
-    /// later by one half as long.
+    /// A part that took less than `shortPartTime` is followed by one twice as
+    /// long; one that took more than `longPartTime`, by one half as long.
     Duration shortPartTime = std::chrono::milliseconds(30);
     Duration longPartTime = std::chrono::milliseconds(90);
-    /// More than the platform lets a configuration have.
+    /// An upper bound above the platform's limit for a configuration.
     std::uint64_t maxBytes = std::uint64_t(64) << 20;
   };
 
@@ -71,25 +77,26 @@
 
   explicit ConfigurationFetch(Settings settings);
 
-  /// A daemon has told which version is in force there.
+  /// A peer reports the version that is in force there.
   void told(const VmId& vm, const ZoneName& zone, std::uint64_t version);
-  /// A daemon can't be reached any more.
+  /// A peer can no longer be reached.
   void lost(const VmId& vm);
-  /// A version is in force here now.
+  /// A version has come into force on this daemon.
   void setInForce(std::uint64_t version, bool isFromPlatform);
-  /// What a daemon sent could not be read.
+  /// A configuration that peers sent could not be parsed.
   void refused(TimePoint now);
 
-  /// The highest version that was told of.
+  /// The highest version that is in force here or reported by a peer.
   std::uint64_t newest() const { return std::max(m_inForce, m_newestTold); }
 
-  /// Whom to ask now for what, if anybody. `isArriving`: the platform's answer
-  /// is on its way.
+  /// Returns the next request to send, if any. `isArriving` tells whether a
+  /// response of the platform is being received.
   std::optional<Request> next(TimePoint now, bool isArriving);
 
-  /// A daemon has no time for it now.
+  /// A peer is busy serving others.
   void busy(const VmId& vm, TimePoint now);
-  /// A part has come; the whole configuration if it was the last one.
+  /// A part was received. Returns the whole configuration if it was the last
+  /// part.
   std::optional<std::string> received(const VmId& vm,
                                       const PeerConfigPart& part,
                                       TimePoint now);
@@ -101,7 +108,7 @@
     std::uint64_t version = 0;
     TimePoint notBefore{};
   };
-  /// What has come so far.
+  /// The parts received so far.
   struct Transfer
   {
     std::uint64_t version = 0;
@@ -130,9 +137,10 @@
   const Settings m_settings;
   std::map<VmId, Peer> m_peers;
   std::uint64_t m_inForce = 0;
-  /// By a daemon that can be reached.
+  /// The highest version that a reachable peer has reported.
   std::uint64_t m_newestTold = 0;
-  /// Since when a newer version than that in force is known.
+  /// When this daemon learned of a version newer than the one in force; unset
+  /// while there is none.
   std::optional<TimePoint> m_behindSince;
   TimePoint m_notBefore{};
   std::optional<Transfer> m_transfer;
--- a/src/libentry/configurationsource.cpp
+++ b/src/libentry/configurationsource.cpp
@@ -65,7 +65,8 @@
   }
 }
 
-/// The part that was asked for, or the first one of another version.
+/// The requested part, or the first part of the receiver's version if another
+/// version was requested.
 PeerConfigPart
 ConfigurationSource::makePart(const Version& version,
                               const PeerConfigRequest& request) const
--- a/src/libentry/configurationsource.h
+++ b/src/libentry/configurationsource.h
@@ -12,23 +12,25 @@
 
 namespace cowslippin {
 
-/// Sends the configuration in force, part by part, to daemons that ask for it.
+/// Sends the configuration in force, part by part, to peers that request it.
 ///
-/// It answers the moment in which one daemon has a configuration and all others
-/// ask for it. Each part delays the heartbeats that go over this machine's
-/// link, so only a few receivers are served at a time: with two, each of 41
-/// daemons has 0.9 MB over links of 25 Mbit/s after some 3 s, since those that
-/// have it serve others. One would do, if it could not vanish in the middle.
+/// When one daemon alone has a new configuration, all its peers ask for it at
+/// once. Each part delays the heartbeats that share this machine's link, so
+/// only a few receivers are served at a time. With two, each of 41 daemons has
+/// 0.9 MB over links of 25 Mbit/s after some 3 s, because those that have it
+/// serve others. One receiver would be enough if it couldn't be lost during the
+/// transfer.
 class ConfigurationSource
 {
 public:
   struct Settings
   {
-    /// The least and the most that is sent at a time, whatever is asked for.
+    /// Minimum and maximum size of a part, whatever size was requested.
     std::uint64_t minPartBytes = std::uint64_t(1) << 10;
     std::uint64_t maxPartBytes = std::uint64_t(64) << 10;
     std::size_t maxReceivers = 2;
-    /// A receiver that asks for nothing for so long makes room for another.
+    /// A receiver that sends no request for this long gives up its place to
+    /// another.
     Duration idleLimit = std::chrono::milliseconds(600);
   };
 
@@ -36,11 +38,12 @@
 
   void setInForce(std::uint64_t version, std::string body);
 
-  /// The answer to a request: a part, or that there is no room now.
+  /// Returns the answer to a request: a part, or `PeerConfigBusy` if too many
+  /// receivers are being served.
   PeerMessage answer(const VmId& vm,
                      const PeerConfigRequest& request,
                      TimePoint now);
-  /// A daemon can't be reached any more.
+  /// A peer can no longer be reached.
   void lost(const VmId& vm);
 
 private:
@@ -51,9 +54,9 @@
   };
   struct Receiver
   {
-    /// What was in force when the sending began. It goes on to its end: where
-    /// configurations follow each other faster than one can be sent, none would
-    /// ever arrive otherwise.
+    /// The version that was in force when the transfer began. The transfer goes
+    /// on to its end, because otherwise none would ever arrive where
+    /// configurations change faster than one can be sent.
     Version version;
     TimePoint askedAt{};
   };
--- a/src/libentry/configurationsync.cpp
+++ b/src/libentry/configurationsync.cpp
@@ -65,7 +65,7 @@
     m_fetch.lost(request->vm);
 }
 
-/// Puts a configuration in force if it is newer.
+/// Puts a configuration in force if it is newer. Returns whether it was.
 bool
 ConfigurationSync::apply(const std::string& body, const std::string& source)
 {
@@ -109,8 +109,8 @@
     m_fetch.setInForce(version(), false);
   else if (body)
     m_fetch.refused(now);
-  // The next part is asked for at once: a tick's wait for each would take as
-  // long again as the parts themselves.
+  // Requests the next part at once: waiting for a tick before each part would
+  // take as long again as the parts themselves.
   tick(now);
 }
 
--- a/src/libentry/configurationsync.h
+++ b/src/libentry/configurationsync.h
@@ -12,8 +12,8 @@
 
 namespace cowslippin {
 
-/// The configuration in force, and its way here: from the platform, or part by
-/// part from other daemons, which get it from here in the same way.
+/// Keeps the configuration in force up to date: from the platform, or part by
+/// part from peers. Serves it to peers in the same way.
 class ConfigurationSync
 {
 public:
@@ -23,16 +23,17 @@
     ConfigurationSource::Settings source;
   };
 
-  /// None may be empty.
+  /// Functions of the daemon. None may be empty.
   struct Hooks
   {
-    /// Reads a configuration as the platform has it.
+    /// Parses a configuration in the platform's format.
     std::function<Result<RoutingTable>(const std::string&)> read;
-    /// Whether the platform's answer with one is on its way.
+    /// Whether a response of the platform with a configuration is being
+    /// received.
     std::function<bool()> isArriving;
-    /// False if there is no connection.
+    /// Returns false if there is no connection.
     std::function<bool(const VmId&, const PeerMessage&)> send;
-    /// A newer one is in force.
+    /// Called after a newer configuration has come into force.
     std::function<void()> changed;
   };
 
@@ -41,20 +42,21 @@
   std::shared_ptr<const RoutingTable> routing() const { return m_routing; }
   /// 0 if there is none yet.
   std::uint64_t version() const { return m_routing->version(); }
-  /// The highest version that this daemon or another has told of.
+  /// The highest version that is in force here or reported by a peer.
   std::uint64_t newestVersion() const { return m_fetch.newest(); }
 
-  /// The platform has a configuration; one that isn't newer is ignored.
+  /// A configuration was read from the platform. One that isn't newer is
+  /// ignored.
   void platformRead(const std::string& body, TimePoint now);
 
-  /// A daemon has told which version is in force there.
+  /// A peer reports the version that is in force there.
   void told(const VmId& vm, const ZoneName& zone, std::uint64_t version);
-  /// A daemon can't be reached any more.
+  /// A peer can no longer be reached.
   void lost(const VmId& vm);
-  /// Messages about other things are ignored.
+  /// Handles messages about configurations; ignores all others.
   void received(const VmId& vm, const PeerMessage& message, TimePoint now);
 
-  /// Lets time pass; to be called every 20 ms or so.
+  /// Sends a request to a peer if one is due. To be called about every 20 ms.
   void tick(TimePoint now);
 
 private:
--- a/src/libentry/directoryreaders.h
+++ b/src/libentry/directoryreaders.h
@@ -6,31 +6,32 @@
 
 namespace cowslippin {
 
-/// Who of a zone's daemons reads the platform's list of workers, and for whom.
+/// Chooses the daemons of a zone that read the platform's list of workers for
+/// the others.
 ///
-/// It answers a fleet that grows: each worker renews its entry every second or
-/// two, and what all daemons together would read grows as the square of the
-/// fleet, up to what the platform can send. Two daemons of each zone read, the
-/// fastest ones, and pass on to the others what has changed; one that hears of
-/// no news for a while reads by itself. It does no input or output.
+/// Each worker renews its entry every second or two. If all daemons read them
+/// all, the traffic would grow as the square of the fleet, up to what the
+/// platform can send. So the two fastest daemons of each zone read the list and
+/// forward its changes to the others. A daemon that receives no changes for
+/// some time reads the list itself. The class does no I/O.
 class DirectoryReaders
 {
 public:
-  /// With one alone its loss would leave the others without news for as long as
-  /// they wait before they read themselves.
+  /// If there were only one reader, its loss would leave the others without
+  /// changes for as long as they wait before they read the list themselves.
   static constexpr std::size_t perZone = 2;
 
   /// `slowness`: see `MemberView`.
   DirectoryReaders(VmId self, ZoneName zone, int slowness);
 
-  /// Whether this daemon reads for others.
+  /// Whether this daemon is one of the readers.
   bool isReader(const MemberIndex::Members& members) const;
-  /// The daemons to which it passes on what it reads; none if it isn't one that
-  /// reads for others.
+  /// The daemons to which this daemon forwards changes; none if it isn't a
+  /// reader.
   std::vector<VmId> followers(const MemberIndex::Members& members) const;
 
 private:
-  /// The daemons of the zone, the one that reads first in front.
+  /// The daemons of the zone, the fastest first.
   std::vector<VmId> ranked(const MemberIndex::Members& members) const;
 
   const VmId m_self;
--- a/src/libentry/entrycore.cpp
+++ b/src/libentry/entrycore.cpp
@@ -11,19 +11,20 @@
 
 namespace {
 
-/// Between two messages about free places to other holders, at least.
+/// Minimum time between two messages to other holders about free slots.
 constexpr Duration placesInterval = std::chrono::milliseconds(30);
-/// The same for each holder that is told, so that what it costs a daemon
+/// The same per holder that receives the message, so that the cost for a daemon
 /// doesn't grow with the group.
 constexpr Duration placesIntervalEach = std::chrono::milliseconds(10);
-/// How much earlier than the platform kills it a daemon exits by itself.
+/// How long before the platform kills this process it exits by itself.
 constexpr Duration exitMargin = std::chrono::milliseconds(400);
-/// How long jobs that others have been told of go on in the smaller part of a
-/// group. This daemon notices within the silence limit of 450 ms that another
-/// one is gone, which may have ceased to hear this one as long before; this is
-/// what is left of `wantedRunLimit`.
+/// How long jobs that were reported to the peers go on in the smaller part of a
+/// partitioned group. This daemon detects within the silence limit of 450 ms
+/// that a peer is gone, and that peer may have stopped receiving from this
+/// daemon 450 ms before that. These 340 ms are what is left of
+/// `wantedRunLimit`.
 constexpr Duration cutOffLimit = std::chrono::milliseconds(340);
-/// How often it is checked whether all others have been heard.
+/// How often to check whether all peers have reported.
 constexpr Duration informRetry = std::chrono::milliseconds(10);
 
 ConfigurationSync::Settings
@@ -104,8 +105,8 @@
   listWorkers(now);
 }
 
-/// Workers of a service that no queue uses aren't ours to hold: their entries
-/// may come from another writer.
+/// Keeps only the workers of services that a queue uses. Other entries may come
+/// from another writer, and their workers must not be leased.
 void
 EntryCore::listWorkers(TimePoint now)
 {
@@ -118,8 +119,8 @@
   divisionRead(now);
 }
 
-/// Gives up held shards that are no longer, since their zone's workers are
-/// divided anew.
+/// Releases held shards that no longer exist because the workers of their zone
+/// were divided anew.
 void
 EntryCore::divisionRead(TimePoint now)
 {
@@ -148,7 +149,8 @@
   adoptEvacuations(evacuations, observeTime());
 }
 
-/// Others are told at once: what they hand to an evacuated zone comes back.
+/// Sends the change to the peers at once, because an evacuated zone returns the
+/// tasks that peers submit to it.
 void
 EntryCore::adoptEvacuations(const Evacuations& evacuations, TimePoint now)
 {
@@ -409,15 +411,17 @@
   return now;
 }
 
-/// Others have given this daemon up, and callers may have submitted again
-/// elsewhere: nothing is started before all that has come in meanwhile is read.
+/// The peers consider this daemon lost, and callers may have submitted their
+/// jobs again elsewhere. So nothing is started before all messages that came in
+/// during the pause are read.
 void
 EntryCore::pauseNoticed(TimePoint now, Duration gap)
 {
   logDecision(
     LogLevel::Warning, "pause-noticed", { { "gapMs", toMilliseconds(gap) } });
   m_resumeAt = now + m_settings.wakeTime;
-  // What a daemon had that was lost meanwhile, unheard, is over by then.
+  // Runs of a daemon that was lost unnoticed during the pause have ended by
+  // then.
   m_informedAt = now + lostRunLimit;
   m_scheduler.suspend(now);
   m_gateway.tellAnew(now - gap + wantedRunLimit);
@@ -454,7 +458,7 @@
   checkLeaving(now);
 }
 
-/// Tells all others at once.
+/// Sends a heartbeat to all peers at once.
 void
 EntryCore::beat(TimePoint now)
 {
@@ -496,7 +500,7 @@
   }
 }
 
-/// Daemons whose last common job is over need be heard less often.
+/// Peers that share no jobs with this daemon any more need fewer heartbeats.
 void
 EntryCore::updateClose()
 {
@@ -520,7 +524,8 @@
   m_links.setClose(vm, true);
 }
 
-/// Tells other holders soon when places have become free or rare.
+/// Sends a heartbeat to the other holders early when the number of free slots
+/// has changed by a quarter or more.
 void
 EntryCore::beatHolders(TimePoint now)
 {
@@ -554,8 +559,8 @@
   return places;
 }
 
-/// Ticks that come late over a while mean that this process gets too little
-/// processor time.
+/// Checks for overload: ticks that come late for some time mean that this
+/// process gets too little processor time.
 void
 EntryCore::noticeStrain(TimePoint now)
 {
@@ -566,7 +571,8 @@
   m_shards.setStrained(m_strain.isStrained());
 }
 
-/// Asks the workers of zones without a daemon whether anybody uses them.
+/// Asks the workers of zones without a reachable daemon whether any daemon
+/// still uses them.
 void
 EntryCore::probeOrphans(TimePoint now)
 {
@@ -601,7 +607,8 @@
   beat.highestToken = m_tokens.highest();
   beat.configVersion = m_configuration.version();
   beat.evacuations = m_evacuations;
-  // The time by which others acknowledge the heartbeat is that of this list.
+  // Peers that acknowledge this heartbeat thereby confirm that they have read
+  // this list.
   beat.longJobs = m_gateway.longJobs(now);
   beat.asksAck = m_gateway.hasUntoldJobs(now);
   beat.sentAt = PeerContact::stamp(now);
@@ -764,9 +771,10 @@
   m_scheduler.submit(std::move(request), now);
 }
 
-/// A daemon that hasn't heard all others since its start or a pause may have
-/// missed what they told, and they what it told. After a loss of all there is
-/// nothing to be told.
+/// Whether this daemon knows which jobs are in progress at the peers. If it
+/// hasn't heard from all peers since its start or a pause, it may have missed
+/// reports of theirs, and they may have missed its own. If all daemons have
+/// just started, as after a loss of the whole group, there are no such jobs.
 bool
 EntryCore::isInformed(TimePoint now) const
 {
@@ -775,8 +783,9 @@
          (known > 0 && m_shards.members().size() >= known);
 }
 
-/// Whether this daemon may be in the smaller part of a cut group. A connection
-/// that is closed tells of a process that has ended.
+/// Whether this daemon may be in the smaller part of a partitioned group. Only
+/// silent peers count as lost: a closed connection means that the peer's
+/// process has ended.
 bool
 EntryCore::isCutOff(TimePoint now) const
 {
@@ -797,9 +806,9 @@
   return m_knownJobs.find(job, now);
 }
 
-/// Until when all daemons that can be reached have read of this one. In a group
-/// whose members aren't all sent a heartbeat in each interval, only those that
-/// have jobs in common with it are.
+/// The time of the newest heartbeat that all reachable peers have read. In a
+/// group that is too large for a heartbeat to each peer in each interval, only
+/// the peers that share jobs with this daemon count.
 TimePoint
 EntryCore::allToldUntil() const
 {
@@ -814,7 +823,8 @@
   return told;
 }
 
-/// Tells the holders of this daemon's jobs that it is there.
+/// Acknowledges the heartbeats of holders that have this daemon's jobs, which
+/// shows them that it is alive.
 void
 EntryCore::acknowledgeBeats(TimePoint now)
 {
@@ -835,8 +845,8 @@
     m_scheduler.contactRenewed(now);
 }
 
-/// Divides zones anew whose daemons can hold more or fewer workers than was
-/// known.
+/// Divides zones anew when the number of workers that their daemons can hold
+/// has changed.
 void
 EntryCore::boundShards(TimePoint now)
 {
--- a/src/libentry/entrycore.h
+++ b/src/libentry/entrycore.h
@@ -27,10 +27,10 @@
 
 namespace cowslippin {
 
-/// What a daemon that serves callers' jobs on leased workers decides: the
-/// callers' jobs, the shards of workers that it holds, and its part among the
-/// other daemons, put together. It does no input or output and reads no clock,
-/// so that a whole group of daemons runs in a test on a virtual clock.
+/// The logic of a daemon that runs callers' jobs on leased workers: the
+/// callers' jobs, the shards of workers that it holds, and its membership in
+/// the group of daemons. It does no I/O and reads no clock of its own, so that
+/// tests run a whole group of daemons on a virtual clock.
 class EntryCore
 {
 public:
@@ -38,39 +38,43 @@
   {
     VmId vm;
     ZoneName zone;
-    /// From the request to end until the process is killed.
+    /// Time between the request to shut down and the kill of the process.
     Duration grace = std::chrono::seconds(6);
-    /// How slow this machine is: the logarithm of what a fixed work takes.
+    /// How slow this machine is: the base-2 logarithm of the time that a fixed
+    /// benchmark takes.
     int slowness = 0;
-    /// What it may use. It follows how many workers this daemon can hold.
+    /// The resources that this process may use. They determine how many workers
+    /// it can hold.
     MachineLimits limits;
-    /// A strained daemon gives its shards to others.
+    /// A daemon that is short of processor time releases its shards to others.
     StrainMeter::Settings strain;
     Scheduler::Settings scheduler;
     ShardTable::Settings shards;
     Gateway::Settings gateway;
     VacancyProbe::Settings vacancy;
     HeartbeatPlan::Settings heartbeats;
-    /// How often a holder tells the platform that it is there.
+    /// How often a holder sends a heartbeat to the platform.
     Duration platformBeatInterval = std::chrono::seconds(1);
-    /// A longer time in which this process did nothing means that it was
-    /// stopped, and that others may have given it up.
+    /// A longer gap between two clock readings means that this process was
+    /// stopped, and that its peers may consider it lost.
     Duration pauseLimit = std::chrono::milliseconds(250);
-    /// After a pause, how long what came in is read before anything is started.
+    /// How long after a pause the pending messages are read before any task is
+    /// started.
     Duration wakeTime = std::chrono::milliseconds(60);
-    /// After the start, how long callers' jobs wait for other daemons to tell
-    /// where they are under way.
+    /// How long after the start callers' jobs wait for the peers to report
+    /// which jobs are in progress there.
     Duration informTime = std::chrono::milliseconds(600);
-    /// After the start, how long a daemon that reaches fewer than half of those
-    /// that it knows of is taken to be cut off from them.
+    /// For this long after the start, a daemon that reaches fewer than half of
+    /// the daemons that it knows is considered partitioned from them.
     Duration findTime = std::chrono::seconds(30);
-    /// How long the platform's balancer may take to see that this daemon is no
-    /// longer ready: it asks every second and goes by two misses.
+    /// How long the platform's load balancer may take to notice that this
+    /// daemon isn't ready: it checks every second and acts on two failed
+    /// checks.
     Duration unreadyTime = std::chrono::milliseconds(2400);
   };
 
-  /// Orders to workers and messages to the platform. None may be empty; no
-  /// answer may be given from within.
+  /// Orders to workers and messages to the platform. No function may be empty,
+  /// and none may call its answer callback before it returns.
   struct Ports
   {
     std::function<void(const WorkerRecord&,
@@ -88,40 +92,42 @@
                        Duration timeout,
                        std::function<void(const OrderAnswer&)>)>
       stop;
-    /// Tells the platform which daemon holds a shard.
+    /// Publishes at the platform that this daemon holds a shard.
     std::function<void(const ShardId&, FencingToken)> publishHolder;
-    /// Reads a configuration as the platform has it.
+    /// Parses a configuration in the platform's format.
     std::function<Result<RoutingTable>(const std::string&)> readConfiguration;
-    /// Whether an answer of the platform with a configuration is on its way.
+    /// Whether a response of the platform with a configuration is being
+    /// received.
     std::function<bool()> isConfigurationArriving;
-    /// Another daemon of the zone has read the platform's list of workers.
+    /// A daemon of the same zone has forwarded changes of the platform's list
+    /// of workers.
     std::function<void(const PeerWorkerNews&)> workerNews;
   };
 
-  /// The connections to other daemons. None may be empty.
+  /// The connections to other daemons. No function may be empty.
   struct Links
   {
-    /// False if there is no connection.
+    /// Returns false if there is no connection.
     std::function<bool(const VmId&, const PeerMessage&)> send;
     std::function<void(const std::vector<VmId>&, const PeerMessage&)>
       sendToEach;
-    /// Whether there are jobs in common with a daemon, so that its loss has to
-    /// be noticed soon.
+    /// Sets whether this daemon shares jobs with a peer, so that a loss of the
+    /// peer has to be detected soon.
     std::function<void(const VmId&, bool isClose)> setClose;
     std::function<bool(const VmId&)> isUp;
     std::function<std::set<VmId>()> up;
-    /// Daemons that exist, whether or not they can be reached.
+    /// The number of known daemons, reachable or not.
     std::function<std::size_t()> knownCount;
     std::function<void()> dropAll;
-    /// Calls a function soon, but not from within.
+    /// Calls a function later, from the event loop.
     std::function<void(std::function<void()>)> post;
   };
 
-  /// None may be empty.
+  /// The clocks and the process number. No function may be empty.
   struct Clocks
   {
     Clock steady;
-    /// Goes on while the machine is suspended, other than the steady clock.
+    /// Keeps running while the machine is suspended, unlike the steady clock.
     std::function<std::chrono::nanoseconds()> sinceBoot;
     /// In milliseconds since 1970; may jump.
     std::function<std::int64_t()> timeOfDay;
@@ -131,59 +137,64 @@
 
   EntryCore(Settings settings, Ports ports, Links links, Clocks clocks);
 
-  /// The platform has a configuration; an older one than that in force is
-  /// ignored.
+  /// A configuration was read from the platform. One that is older than the one
+  /// in force is ignored.
   void configurationRead(const std::string& body);
   void workersRead(const WorkerList& workers);
-  /// Whether this daemon is to read the platform's list of workers for others
-  /// of its zone.
+  /// Whether this daemon reads the platform's list of workers for others of its
+  /// zone.
   bool isDirectoryReader() const { return m_isDirectoryReader; }
-  /// Passes on what it has read to those that don't read.
+  /// Forwards changes of the list of workers to the daemons of the zone that
+  /// don't read it themselves.
   void passOn(const PeerWorkerNews& news);
-  /// The platform's log tells which zones are to be evacuated.
+  /// The set of evacuated zones was read from the platform's log.
   void evacuationsRead(const Evacuations& evacuations);
-  /// A holder has told the platform anew that it holds a shard.
+  /// A holder's heartbeat for a shard was read from the platform.
   void holderRead(const ShardId& shard, const VmId& holder);
-  /// Who held a shard last, by what the platform has.
+  /// The last holder of a shard was read from the platform, however long ago
+  /// that was.
   void lastHolderRead(const ShardId& shard, const VmId& holder);
-  /// The holders' entries at the platform were read; the highest token in them.
+  /// All holders' entries were read from the platform; `highest` is the highest
+  /// fencing token in them.
   void holdersRead(FencingToken highest);
 
   std::shared_ptr<const RoutingTable> routing() const
   {
     return m_configuration.routing();
   }
-  /// Whether callers should be sent here.
+  /// Whether the load balancer should send callers to this daemon.
   bool isReady() const;
 
   Gateway::Ticket submit(JobSubmission submission, Gateway::Done done);
   void callerGone(Gateway::Ticket ticket);
 
-  /// Messages of other daemons, and whether they can be reached.
+  /// Connections to peers being made and lost, and the messages that peers
+  /// send.
   void peerUp(const PeerHello& hello);
   void peerDown(const VmId& vm, PeerLoss loss);
   void received(const VmId& vm, const PeerMessage& message);
 
-  /// Lets time pass; to be called every 20 ms or so.
+  /// Does what is due by now. To be called about every 20 ms.
   void tick();
 
-  /// Gives up what is held and ends when nothing waits any more. `ended` is
-  /// called once, when the process may exit.
+  /// Releases the held shards and finishes when no job is left. Calls `ended`
+  /// once, when the process may exit.
   void leave(std::function<void()> ended);
-  /// How long this daemon may take to leave from now on.
+  /// Sets how long shutting down may take.
   void setGrace(Duration grace) { m_grace = grace; }
   bool isLeaving() const { return m_leaveAt.has_value(); }
-  /// Whether callers may still come. When this daemon leaves they may until the
-  /// platform's balancer has had the time to see it.
+  /// Whether requests of callers are still accepted. During the shutdown they
+  /// are, until the platform's load balancer has had time to notice that this
+  /// daemon isn't ready.
   bool acceptsCallers() const;
 
   std::set<ShardId> heldShards() const;
 
-  /// What an operator watches.
+  /// The values that are exported as metrics.
   struct Figures
   {
     std::uint64_t configurationVersion = 0;
-    /// The highest version that this daemon or another has told of.
+    /// The highest version that is known to this daemon or reported by a peer.
     std::uint64_t newestConfigurationVersion = 0;
     std::size_t callersWaiting = 0;
     std::size_t jobsScheduled = 0;
@@ -193,19 +204,20 @@
     std::size_t peersUp = 0;
     std::size_t evacuatedZones = 0;
     bool isReady = false;
-    /// Of each worker of the held shards.
+    /// The lease state of each worker of the held shards.
     std::vector<LeaseState> leases;
     LossLog::Counts restarts;
   };
   Figures figures() const;
 
-  /// The state of every part, for an operator.
+  /// The state of all components as JSON, for an operator.
   nlohmann::json dump() const;
 
   /// Whether the holders' entries at the platform should be read often.
   bool needsHolderReads() const { return m_shards.needsPlatformReads(); }
 
-  /// Reads the clocks; notices when the process has been stopped for a while.
+  /// Reads the clocks and handles a pause of the process, if there was one.
+  /// Returns the time of the steady clock.
   TimePoint observeTime();
 
 private:
@@ -272,10 +284,11 @@
   PeerContact m_contact;
   KnownJobs m_knownJobs;
   MemberLosses m_losses;
-  /// When this daemon has surely been told of others' jobs, after its start or
-  /// after it stood still.
+  /// After the start or a pause, the time by which all peers have reported
+  /// their jobs to this daemon.
   TimePoint m_informedAt;
-  /// When it has surely found all others that it can reach, after its start.
+  /// After the start, the time by which this daemon has found all daemons that
+  /// it can reach.
   TimePoint m_foundAllAt;
   HolderLookup m_holders;
   TokenSource m_tokens;
@@ -284,14 +297,14 @@
   bool m_isDirectoryReader = true;
   StrainMeter m_strain;
   HeartbeatPlan m_heartbeats;
-  /// Daemons that have jobs in common with this one.
+  /// Peers that have jobs of this daemon, or whose jobs this daemon has.
   std::set<VmId> m_close;
-  /// Those of them that have jobs of this one.
+  /// The close peers that have jobs of this daemon.
   std::set<VmId> m_jobHolders;
   std::set<ShardId> m_fenced;
-  /// Not yet told to other daemons.
+  /// Starts that workers didn't answer and that weren't sent to the peers yet.
   std::vector<UnresolvedStart> m_newUnresolved;
-  /// When something was last read from each other daemon.
+  /// When a message of each peer was last read.
   std::map<VmId, TimePoint> m_lastReadAt;
   TimePoint m_lastBeatAt{};
   TimePoint m_lastHolderBeatAt{};
--- a/src/libentry/entrydaemon.cpp
+++ b/src/libentry/entrydaemon.cpp
@@ -49,8 +49,9 @@
     .count();
 }
 
-/// What a fixed work, some messages written and read, takes on this machine, as
-/// a logarithm to the base of two: machines differ by factors.
+/// The time that a fixed benchmark, encoding and decoding some messages, takes
+/// on this machine. It is given as a base-2 logarithm, because machines differ
+/// by factors.
 int
 measureSlowness()
 {
--- a/src/libentry/entrydaemon.h
+++ b/src/libentry/entrydaemon.h
@@ -12,8 +12,8 @@
 
 namespace cowslippin {
 
-/// An `EntryCore` with the machine's clocks, connections to other daemons and a
-/// timer. All runs on the thread of the I/O context.
+/// Runs an `EntryCore` with the machine's clocks, connections to other daemons
+/// and a timer. Everything runs on the thread of the I/O context.
 class EntryDaemon
 {
 public:
@@ -21,26 +21,26 @@
   {
     EntryCore::Settings core;
     PeerLinks::Settings links;
-    /// Where other daemons connect.
+    /// The address where other daemons connect.
     Address peerAddress;
     std::vector<Address> seeds;
   };
 
-  /// `ticked` is called at each tick, before anything else.
+  /// `ticked` is called at the start of each tick.
   EntryDaemon(boost::asio::io_context& context,
               Settings settings,
               EntryCore::Ports ports,
               std::function<void(TimePoint)> ticked);
 
-  /// Listens for other daemons and begins.
+  /// Listens for other daemons and starts the timer.
   std::optional<Problem> start();
 
-  /// Another daemon exists there.
+  /// The address of another daemon was read from the platform.
   void memberRead(const Address& address);
 
   EntryCore& core() { return m_core; }
 
-  /// Gives up what is held; `ended` is called when the process may exit.
+  /// Releases the held shards; `ended` is called when the process may exit.
   void leave(std::function<void()> ended);
 
 private:
--- a/src/libentry/entrymetrics.h
+++ b/src/libentry/entrymetrics.h
@@ -15,7 +15,7 @@
 namespace cowslippin {
 
 /// The counters, gauges and latency histograms of one daemon, in the text
-/// format of Prometheus. docs/METRICS.md says what each means.
+/// format of Prometheus. docs/METRICS.md describes each metric.
 class EntryMetrics
 {
 public:
@@ -24,10 +24,10 @@
   EntryMetrics(const EntryMetrics&) = delete;
   EntryMetrics& operator=(const EntryMetrics&) = delete;
 
-  /// A caller was answered after this long.
+  /// Records the answer to a caller and its response time.
   void answered(JobAnswer::Kind kind, Duration took);
 
-  /// All metrics as text, with the state of the daemon as it is now.
+  /// All metrics as text, with the current state of the daemon.
   std::string render(const EntryCore& core);
 
 private:
--- a/src/libentry/gateway.cpp
+++ b/src/libentry/gateway.cpp
@@ -45,7 +45,8 @@
   return ticket;
 }
 
-/// Hands a job to a holder if nothing of an earlier submission can be at work.
+/// Submits a job unless runs of an earlier submission may go on. In that case,
+/// holds the job or asks the daemon that has the earlier submission to stop it.
 void
 Gateway::begin(Entry& entry, TimePoint now)
 {
@@ -70,8 +71,8 @@
   recallFrom(*place->daemon, entry, now);
 }
 
-/// Waits until runs of an earlier submission are surely over, if the caller's
-/// time allows it.
+/// Holds a job until all runs of an earlier submission have ended. Ends the job
+/// at once if too little of the caller's time would be left after that.
 void
 Gateway::hold(Entry& entry, TimePoint until, TimePoint now)
 {
@@ -158,7 +159,8 @@
       partMoved(*entry, *part, end, now);
       return;
     case JobOutcome::NotHolder:
-      // A tick looks again, when this daemon may know better.
+      // The next tick looks up the holder again; this daemon may know the right
+      // one by then.
       part->holder.reset();
       return;
   }
@@ -245,7 +247,7 @@
   }
 }
 
-/// Tells holders of which jobs the other daemons have come to know.
+/// Marks jobs as reported once all peers have received the report.
 void
 Gateway::tellOthers(TimePoint now)
 {
@@ -328,14 +330,15 @@
   m_hooks.recall(vm, { entry.submission.job, ageOf(entry, now) });
 }
 
-/// Since its caller sent it, at the most.
+/// Upper bound on the time since the caller sent the request.
 Duration
 Gateway::ageOf(const Entry& entry, TimePoint now)
 {
   return now - entry.arrivedAt + entry.submission.unreadFor;
 }
 
-/// Whether it is time to look again where an earlier submission is under way.
+/// Whether it is time to look up again where an earlier submission is in
+/// progress.
 bool
 Gateway::mayBeginNow(const Entry& entry, TimePoint now) const
 {
@@ -344,14 +347,14 @@
   return entry.recalledFrom && now - entry.recalledAt >= m_settings.recallRetry;
 }
 
-/// Until when a job of which no other daemon was told is exclusive.
+/// Until when a job that isn't reported to any peer is exclusive.
 TimePoint
 Gateway::exclusiveFromArrival(const Entry& entry)
 {
   return entry.arrivedAt - entry.submission.unreadFor + wantedRunLimit;
 }
 
-/// Whether something of a job may be at work.
+/// Whether any task of a job may be running.
 bool
 Gateway::mayRun(const Entry& entry)
 {
@@ -362,7 +365,7 @@
            });
 }
 
-/// When a job ends of which the others haven't been told.
+/// The time at which a job ends if it hasn't been reported to the peers.
 TimePoint
 Gateway::untoldEnd(const Entry& entry) const
 {
@@ -471,7 +474,8 @@
                 { "ageMs", toMilliseconds(now - entry.arrivedAt) } });
 }
 
-/// The job and the part that `from` has under this key now, or nulls.
+/// The job and the part that daemon `from` has under this key now, or null
+/// pointers.
 Gateway::PartPlace
 Gateway::find(const VmId& from, const JobKey& key)
 {
@@ -503,10 +507,11 @@
     finish(entry, { JobAnswer::Kind::Completed, Duration::zero(), "" }, now);
 }
 
-/// A job that is refused as a whole has not run: another shard may have room,
-/// as load and workers are shared unevenly among zones, and the caller is
-/// refused only when the roomiest have been asked and no other tells of room. A
-/// part of one goes back to the holder at home, which has to wait for room.
+/// A job that is refused as a whole has not run. Another shard may have free
+/// slots, because load and workers are spread unevenly over the zones. So the
+/// caller is refused only when the shards with the most free slots have been
+/// asked and no other one advertises free slots. A refused part of a split job
+/// goes back to a holder in the job's own zone, which has to queue it.
 void
 Gateway::partRefused(Entry& entry, Part& part, const JobEnd& end, TimePoint now)
 {
@@ -525,7 +530,7 @@
 }
 
 /// Removes the tasks that are done and places the others again. A completed
-/// part has others if the message that returned them was lost with its
+/// part has others left if the message that returned them was lost with its
 /// connection.
 void
 Gateway::partMoved(Entry& entry, Part& part, const JobEnd& end, TimePoint now)
@@ -599,16 +604,16 @@
   return true;
 }
 
-/// Whether a holder may be asked for room though others have refused the job.
+/// Whether a holder may be asked although others have refused the job.
 bool
 Gateway::mayAsk(const Part& part, const HolderChoice& choice) const
 {
   return part.refusedBy.size() < m_settings.mostAsked || choice.places > 0;
 }
 
-/// A part whose daemon was lost goes to the next holder of the same workers,
-/// which finds what still runs. If there is none, it starts anew elsewhere once
-/// all that ran is surely over.
+/// A part whose holder was lost goes to the next holder of the same workers,
+/// which finds the runs that still go on. If there is no such holder, the part
+/// is placed elsewhere once all orphaned runs have ended.
 bool
 Gateway::placeAgain(Entry& entry, Part& part, TimePoint now)
 {
@@ -643,8 +648,8 @@
     request.exclusiveFor = entry.exclusiveUntil - now;
   request.mayBeReturned = part.mayBeReturned;
   request.shard = shard;
-  // One that was named for its room may refuse; elsewhere a part of a job
-  // waits.
+  // A holder that was named for its free slots may refuse. Any other holder
+  // queues the part of a split job.
   const bool mayRefuse = !entry.isSplit || part.isSuggested;
   request.mayHaveRun = part.lostAt || !mayRefuse;
   const Duration lostFor = part.lostAt ? now - *part.lostAt : Duration::zero();
@@ -684,7 +689,7 @@
     done(answer);
 }
 
-/// Takes back what holders still have of a job, and drops it.
+/// Cancels the parts that holders still have, and removes the job.
 void
 Gateway::forget(Entry& entry, TimePoint now)
 {
--- a/src/libentry/gateway.h
+++ b/src/libentry/gateway.h
@@ -28,183 +28,206 @@
   std::string spec;
   std::string taskPrefix;
   unsigned taskCount = 0;
-  /// How long the caller waits.
+  /// How much longer the caller waits for the answer.
   Duration timeLeft = Duration::zero();
-  /// How long the request may have waited to be read.
+  /// Upper bound on how long the request waited in the socket before it was
+  /// read.
   Duration unreadFor = Duration::zero();
 };
 
-/// What a caller is answered.
+/// The answer to a caller.
 struct JobAnswer
 {
   enum class Kind
   {
     Completed,
     Failed,
-    /// Nothing of the job has run or will run.
+    /// No task of the job has run or will run.
     NotRun,
-    /// Something of it may have run; all of it is being stopped.
+    /// Tasks of the job may have run. All its runs are being stopped.
     Unknown,
   };
 
   Kind kind = Kind::Completed;
-  /// Of `NotRun`, and of `Unknown` where it isn't zero: when to come back.
+  /// When the caller may retry: always set for `NotRun`; zero for `Unknown` if
+  /// there is no such time.
   Duration retryAfter = Duration::zero();
   std::string reason;
 };
 
-/// The jobs whose callers wait at this daemon. It finds the daemon that holds
-/// workers for each, and another one when that is lost, and makes sure that no
-/// task runs twice at the same time on the way. It does no input or output and
+/// The jobs whose callers wait for an answer from this daemon. The gateway
+/// submits each job to a holder, which is a daemon that leases the workers of a
+/// shard. When the holder is lost, the gateway fails over to another one and
+/// makes sure that no task runs twice at the same time. It does no I/O and
 /// reads no clock.
 ///
 /// A caller whose connection breaks submits its job again 1,300 ms later, at
-/// any daemon, and this one may learn of it late or never. So a job either ends
-/// before that or the other daemons are told where it is under way. The one to
-/// which it then comes recalls it from here.
+/// any daemon; this daemon may learn of the broken connection late or never. So
+/// a job either ends before that time, or this daemon reports it to its peers
+/// as in progress here. A peer that receives the job again then asks this
+/// daemon to stop the earlier submission.
 class Gateway
 {
 public:
   struct Settings
   {
-    /// Share of its ideal response time that a job waits for a daemon that
-    /// holds workers before it is refused.
+    /// A job that finds no reachable holder is refused after this share of its
+    /// ideal response time.
     double holderWaitShare = 0.25;
-    /// Shards that a job is handed to before it is refused, not counting those
-    /// that told of room. Load is at its worst when jobs are refused: asking
-    /// all of many shards, at some 700 bytes each, took more of the links than
-    /// the jobs that were served.
+    /// How many shards may refuse a job before it is refused to the caller.
+    /// Shards whose holder advertises free slots are asked beyond this limit.
+    /// The load is highest when jobs are refused: asking every one of many
+    /// shards, at some 700 bytes each, took more of the network links than the
+    /// jobs that were served.
     std::size_t mostAsked = 4;
     Duration lostRunLimit = cowslippin::lostRunLimit;
-    /// A caller that is refused for want of workers comes back after this.
+    /// Retry delay given to a caller whose job is refused because no daemon
+    /// holds workers.
     Duration noHolderRetry = std::chrono::milliseconds(500);
-    /// The same while all zones are evacuated, which takes seconds at least.
+    /// Retry delay given to a caller while all zones are evacuated, which takes
+    /// seconds at least.
     Duration evacuatedRetry = std::chrono::seconds(2);
-    /// Jobs that are under way for so long are told to other daemons. Most are
-    /// over before.
+    /// Jobs that have been in progress for this long are reported to the peers.
+    /// Most jobs end earlier.
     Duration tellAfter = std::chrono::milliseconds(450);
-    /// A job of which the others can't be told ends so long before its caller
-    /// may have submitted it again, as its holder has to be told of that.
+    /// A job that can't be reported to the peers ends this long before its
+    /// caller may have submitted it again, because its holder has to be told to
+    /// stop it.
     Duration untoldMargin = std::chrono::milliseconds(90);
-    /// A job of which nothing was started is refused if the others can't be
-    /// told of it for so long.
+    /// A job of which no task was started is refused if it can't be reported to
+    /// the peers for this long.
     Duration tellLimit = std::chrono::milliseconds(500);
-    /// A recall without an answer may have been lost with its connection.
+    /// A stop request that gets no answer is repeated after this time: it may
+    /// have been lost with its connection.
     Duration recallRetry = std::chrono::milliseconds(150);
   };
 
-  /// None may be empty.
+  /// Functions of the daemon that the gateway calls. None may be empty.
   struct Hooks
   {
-    /// Who holds the workers of a shard, or some of them if they are divided
-    /// into other shards by now. Only daemons that can be reached.
+    /// Returns the reachable holder of a shard. If the shard has been divided
+    /// into other shards since, returns the holder of one that has some of its
+    /// workers.
     std::function<std::optional<HolderChoice>(const ShardId&)> nextHolder;
-    /// A holder for a new job, of a shard that hasn't refused it: one of this
-    /// zone if there is any, with room if there is any.
+    /// Chooses a holder for a new job among the shards that haven't refused it.
+    /// Prefers this daemon's zone, then free slots.
     std::function<std::optional<HolderChoice>(
       const std::set<ShardId>& refusedBy)>
       bestHolder;
-    /// Whether operators have had all workers' zones evacuated, so that there
-    /// is no holder to wait for.
+    /// Whether operators have evacuated the zones of all workers, so that
+    /// waiting for a holder is pointless.
     std::function<bool()> areAllEvacuated;
-    /// What a daemon told of the workers of a shard that it holds, if it did.
+    /// The digest of a shard's workers as its holder last reported it, if it
+    /// did.
     std::function<std::optional<ShardDigest>(const VmId&, const ShardId&)>
       workers;
-    /// Hands a job to a daemon, this one included. False if it can't be
-    /// reached.
+    /// Submits a job to a daemon, which may be this one. Returns false if that
+    /// daemon can't be reached.
     std::function<bool(const VmId&, const JobRequest&)> submit;
     std::function<void(const VmId&, const JobKey&)> cancel;
-    /// Tells a holder that the other daemons know of a job.
+    /// Tells a holder that the peers know where the job is in progress, so that
+    /// the holder needn't stop it when `JobRequest::exclusiveFor` runs out.
     std::function<void(const VmId&, const JobKey&)> keep;
-    /// Until when all daemons at which callers may submit a job again have been
-    /// told of `longJobs`, by this daemon's clock.
+    /// The time, by this daemon's clock, of the newest `longJobs` report that
+    /// has reached every daemon where callers may submit a job again.
     std::function<TimePoint()> toldUntil;
-    /// Where callers of another daemon have a job under way.
+    /// Where a job is in progress for a caller of another daemon, or was when
+    /// that daemon was lost.
     std::function<std::optional<KnownJobs::Place>(const JobId&)> underWayAt;
-    /// Asks a daemon to stop what it has of a job.
+    /// Asks a daemon to stop an earlier submission of a job.
     std::function<void(const VmId&, const PeerRecall&)> recall;
   };
 
   using Done = std::function<void(const JobAnswer&)>;
-  /// Identifies a caller that waits.
+  /// Identifies a waiting caller.
   using Ticket = std::uint64_t;
 
   Gateway(VmId self, Settings settings, Hooks hooks);
 
-  /// A job that is under way here is joined, not begun again.
+  /// Adds a caller. If the job is already in progress here, the caller joins it
+  /// and gets the same answer; no second job is started.
   Ticket submit(JobSubmission submission, Done done, TimePoint now);
-  /// The caller has gone without an answer.
+  /// The caller has disconnected before it was answered. The job is cancelled
+  /// if no other caller waits for it.
   void callerGone(Ticket ticket, TimePoint now);
 
-  /// The daemon that had a job says what became of it.
+  /// A holder reports how a job, or its part of one, has ended.
   void ended(const VmId& from,
              const JobKey& key,
              const JobEnd& end,
              TimePoint now);
-  /// A holder has no room for some tasks and names one that has.
+  /// A holder returns tasks for which it has no free slots. It may name another
+  /// holder that has some.
   void returned(const VmId& from,
                 const JobKey& key,
                 const TasksReturned& returned,
                 TimePoint now);
-  /// A daemon can't be reached any more.
+  /// A daemon can no longer be reached. The parts that it had fail over.
   void daemonLost(const VmId& vm, TimePoint now);
-  /// The jobs that other daemons are to know of: those that have been under way
-  /// for a while, and those that were given up and whose runs may still be
-  /// stopping.
+  /// The jobs to report to the peers: those that have been in progress for
+  /// `tellAfter`, and abandoned ones whose runs may still be stopping.
   std::vector<LongJob> longJobs(TimePoint now) const;
-  /// What another daemon tells of its own. Of a job that is at both the earlier
-  /// submission is recalled: its caller has left it.
+  /// A peer reports its own long-running jobs. If one is in progress here too
+  /// and the peer's submission is the older one, the peer is asked to stop it,
+  /// because its caller has left it.
   void told(const VmId& from, const std::vector<LongJob>& jobs, TimePoint now);
-  /// Whether any of them still has to be told to some daemon.
+  /// Whether any long-running job has yet to be reported to some peer.
   bool hasUntoldJobs(TimePoint now) const;
-  /// Another daemon has been sent a job that this one told of. What runs of it
-  /// is stopped, but for a later submission; returns how long that may take.
+  /// A peer has received a job again that is in progress here, and asks to stop
+  /// it. Stops the submission here unless it is the later one. Returns how long
+  /// the runs of the job may go on.
   Duration recall(const VmId& from, const PeerRecall& recall, TimePoint now);
-  /// The answer to a recall.
+  /// A daemon answers a stop request: its runs of the job end within `overIn`.
   void recalled(const VmId& from,
                 const JobId& job,
                 Duration overIn,
                 TimePoint now);
-  /// The other daemons may no longer know of the jobs that they have been told
-  /// of: those cease to be exclusive at this time unless they are told anew.
+  /// Treats all jobs as not yet reported, because the peers may have lost the
+  /// reports. Those jobs are exclusive until the given time at the latest
+  /// unless they are reported again.
   void tellAnew(TimePoint exclusiveUntil);
-  /// Looks for holders and ends what has run out of time; to be called every
-  /// 20 ms and when a shard has changed hands.
+  /// Looks for holders and ends jobs that have run out of time. To be called
+  /// every 20 ms, and when a shard has changed its holder.
   void tick(TimePoint now);
 
   std::size_t waiting() const { return m_jobs.size(); }
-  /// The daemons that have something of a job.
+  /// The daemons that have a part of any job.
   std::set<VmId> holders() const;
-  /// The jobs of which a daemon has something.
+  /// The jobs of which this holder has a part.
   IdList jobsAt(const VmId& holder) const;
 
 private:
-  /// Tasks of a job that one holder has.
+  /// The tasks of a job that are submitted to one holder together.
   struct Part
   {
     std::uint64_t id = 0;
-    /// New each time that the part is handed over, so that what a holder says
-    /// of an earlier time is not heeded.
+    /// New for each submission of the part, so that late messages about an
+    /// earlier submission are ignored.
     JobKey key;
     std::set<TaskIndex> tasks;
     std::uint64_t firstRun = 1;
     CrashCounts crashes;
-    /// The daemon that has the part now, and the shard of its workers.
+    /// The daemon that has the part now, and the shard whose workers it may
+    /// use.
     std::optional<VmId> holder;
     ShardId shard;
-    /// Set when a daemon that had the part was lost or gave it up.
+    /// When a holder of the part was last lost or gave it up, so that runs may
+    /// be orphaned.
     std::optional<TimePoint> lostAt;
-    /// The workers on which runs of it may be left since then; none if they
-    /// aren't known, or if they may be left by more than one daemon.
+    /// The workers on which orphaned runs may go on. Empty if they aren't
+    /// known, or if more than one holder may have left runs.
     std::optional<ShardWorkers> lostOn;
-    /// Its tasks that may be at work since then, if the daemon has told them.
+    /// The tasks that may still be running since then, if the holder that gave
+    /// the part up has listed them.
     std::optional<std::vector<TaskPlace>> underWay;
-    /// Whether the holder may name another one. It may do so once.
+    /// Whether the holder may return tasks and name another holder. It may do
+    /// so once.
     bool mayBeReturned = true;
-    /// Handed to a holder that another one has named: it may refuse.
+    /// The part was submitted to a holder that another holder named. This one
+    /// may refuse it.
     bool isSuggested = false;
-    /// Shards whose holders had no room for it in time, and when the first of
-    /// them expects some.
+    /// Shards whose holders refused the part for lack of free slots, and the
+    /// shortest time after which one of them expects some.
     std::set<ShardId> refusedBy;
     Duration retryAfter = Duration::max();
   };
@@ -216,20 +239,22 @@
     TimePoint arrivedAt{};
     TimePoint expiresAt{};
     std::map<std::uint64_t, Part> parts;
-    /// Whether it has had more than one part, so that no holder knows whether
-    /// something of it runs.
+    /// Whether the job has had more than one part. Then no single holder knows
+    /// whether any task of it runs.
     bool isSplit = false;
-    /// Until when its caller can't have submitted it again.
+    /// Until this time the job is exclusive: its caller can't have submitted it
+    /// again at a daemon that doesn't know where it is in progress.
     TimePoint exclusiveUntil{};
-    /// When it becomes one of the long jobs, and whether the other daemons have
-    /// been told of it since.
+    /// When the job counts as long-running, and whether it has been reported to
+    /// the peers since.
     TimePoint longFrom{};
     bool isTold = false;
-    /// Set while another daemon is asked to stop what it has of the job, and
-    /// when it was asked last.
+    /// The peer that was asked to stop an earlier submission of the job and
+    /// hasn't answered yet, and when it was last asked.
     std::optional<VmId> recalledFrom;
     TimePoint recalledAt{};
-    /// Set while runs of an earlier submission may be at work.
+    /// Nothing is submitted until then, because runs of an earlier submission
+    /// may go on. Unset otherwise.
     std::optional<TimePoint> heldUntil;
   };
   using Entries = std::map<std::uint64_t, Entry>;
@@ -273,10 +298,10 @@
   const Hooks m_hooks;
   Entries m_jobs;
   std::map<JobId, std::uint64_t> m_byId;
-  /// The job and the part that each key stands for.
+  /// For each submitted key, the job number and the part id.
   std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>> m_keys;
   std::map<Ticket, std::uint64_t> m_tickets;
-  /// When the runs of jobs that were given up are surely over.
+  /// Jobs that were abandoned, and the time by which all their runs have ended.
   std::map<JobId, TimePoint> m_givenUp;
   std::uint64_t m_lastJob = 0;
   std::uint64_t m_lastPart = 0;
--- a/src/libentry/heartbeatplan.cpp
+++ b/src/libentry/heartbeatplan.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Intervals are this much longer at times, as ticks come late.
+/// How much longer an interval may be because a tick comes late.
 constexpr Duration lateTick = std::chrono::milliseconds(20);
 
 } // namespace
@@ -49,7 +49,7 @@
 HeartbeatPlan::promise(const VmId& peer, bool isClose, TimePoint now)
 {
   const auto [promised, isNew] = m_promisedBy.try_emplace(peer);
-  // One that is sent out of turn leaves the turn as it is.
+  // A heartbeat that is sent out of turn doesn't move the peer's turn.
   if (!isClose && promised->second - now >= m_settings.interval + lateTick)
     return promised->second - now;
   auto slots = static_cast<int>(isClose ? 1 : m_slots);
--- a/src/libentry/heartbeatplan.h
+++ b/src/libentry/heartbeatplan.h
@@ -10,26 +10,28 @@
 
 namespace cowslippin {
 
-/// When which other daemon is sent a heartbeat, and how long it may have to
-/// wait for the next one. It does no input or output and reads no clock.
+/// Decides when each peer is sent a heartbeat, and within what time the next
+/// one follows. It does no I/O and reads no clock.
 ///
-/// It answers a group that grows: heartbeats from each to each at a short
-/// interval cost a daemon in proportion to the group. So they have a budget.
-/// Close peers, those that have jobs in common with this daemon, are always
-/// sent one at the short interval, since a caller's job hangs on noticing
-/// their loss; the others take turns in what is left.
+/// If every daemon sent one to every other at a short interval, the cost for a
+/// daemon would grow in proportion to the group. So the number of heartbeats
+/// per interval is limited. Close peers, which share jobs with this daemon, get
+/// one in every interval, because their loss has to be detected soon for the
+/// callers of those jobs. The other peers take turns in what is left of the
+/// limit.
 class HeartbeatPlan
 {
 public:
   struct Settings
   {
-    /// Three of them fit into the silence limit between close daemons.
+    /// Three heartbeats fit into the silence limit between close peers.
     Duration interval = std::chrono::milliseconds(140);
-    /// Heartbeats that are sent in one interval, if that is enough for all
-    /// close peers. As many peers and fewer are all sent one each interval.
+    /// Maximum number of heartbeats in one interval, unless there are more
+    /// close peers than that. A group with no more peers than this sends one to
+    /// each peer in each interval.
     std::size_t perInterval = 49;
-    /// Peers that aren't close and are sent one in an interval, however many
-    /// are close.
+    /// Minimum number of peers that aren't close and are sent a heartbeat in
+    /// one interval, however many peers are close.
     std::size_t leastDistant = 10;
   };
 
@@ -38,22 +40,25 @@
   {
   }
 
-  /// The peers to send one to; called once in each interval. Peers that are no
-  /// longer up are forgotten.
+  /// Returns the peers to send a heartbeat to. To be called once in each
+  /// interval. Drops the state of peers that are no longer connected.
   std::vector<VmId> due(const std::set<VmId>& up,
                         const std::set<VmId>& close,
                         TimePoint now);
-  /// Whether all peers are sent one each interval.
+  /// Whether each peer is sent a heartbeat in each interval.
   bool isEachDue() const { return m_slots <= 1; }
 
-  /// Within what time a peer that is sent a heartbeat now is sent the next.
+  /// Schedules the next heartbeat of a peer that is sent one now. Returns the
+  /// time within which that next one is sent.
   Duration promise(const VmId& peer, bool isClose, TimePoint now);
 
 private:
   const Settings m_settings;
-  /// Intervals in which each peer that isn't close has its turn.
+  /// Number of intervals in which each peer that isn't close gets one
+  /// heartbeat.
   std::size_t m_slots = 1;
-  /// Spreads the first turns.
+  /// Number of peers added so far. It spreads their first heartbeats over the
+  /// intervals.
   std::size_t m_newcomers = 0;
   std::map<VmId, TimePoint> m_promisedBy;
 };
--- a/src/libentry/holderchoice.cpp
+++ b/src/libentry/holderchoice.cpp
@@ -13,7 +13,8 @@
   const std::size_t round = m_turn / count;
   const HolderChoice& one = choices[m_turn % count];
   ++m_turn;
-  // Another one each round, so that each pair has its turn.
+  // The distance between the two grows with each round, so that every pair gets
+  // compared.
   const HolderChoice& other = choices[(m_turn + round % count) % count];
   return one.places >= other.places ? one : other;
 }
--- a/src/libentry/holderchoice.h
+++ b/src/libentry/holderchoice.h
@@ -10,33 +10,35 @@
 
 namespace cowslippin {
 
-/// A shard of workers that a job could go to, with what is known of it.
+/// A shard that a job could be submitted to, and what is known of it.
 struct HolderChoice
 {
   VmId holder;
   ShardId shard;
-  /// Free places, and how long ago the holder told of them.
+  /// Free slots, and the age of the holder's report of them.
   unsigned places = 0;
   Duration age = Duration::zero();
 };
 
-/// Chooses the shard that a new job is handed to first.
+/// Chooses the shard that a new job is submitted to first.
 ///
-/// It answers load that is spread unevenly over the shards of a zone: of two
-/// shards, taken in turn, the one with more room gets the job. What is told of
-/// room is up to 140 ms old, longer than many tasks run, so that choosing the
-/// best of all would send everything to one. Shards of the job's own zone go
-/// first: what finds no room there is offered to others by their holder, which
-/// knows more.
+/// The load is spread unevenly over the shards of a zone. So two shards are
+/// compared, taken in turn, and the one with more free slots gets the job.
+/// Reports of free slots are up to 140 ms old, longer than many tasks run, so
+/// choosing the best of all shards would send every job to the same one. Shards
+/// of the job's own zone go first. Tasks that find no free slot there are
+/// offered to other holders by their holder, which knows more about them.
 class HolderChooser
 {
 public:
-  /// Nothing if there is no shard. `home` are those of the own zone.
+  /// Chooses one of two shards of the local zone, or of the other zones if the
+  /// local one has none. Returns nothing if there is no shard.
   std::optional<HolderChoice> choose(const std::vector<HolderChoice>& home,
                                      const std::vector<HolderChoice>& abroad);
 
-  /// Where a job goes that others have refused: to whom told of the most room,
-  /// at home if that is the same abroad. Nothing if there is no shard.
+  /// Chooses a shard for a job that other shards have refused: the one whose
+  /// holder reported the most free slots, and one of the local zone on a tie.
+  /// Returns nothing if there is no shard.
   static std::optional<HolderChoice> roomiest(
     const std::vector<HolderChoice>& home,
     const std::vector<HolderChoice>& abroad);
--- a/src/libentry/holderlookup.h
+++ b/src/libentry/holderlookup.h
@@ -12,12 +12,12 @@
 
 namespace cowslippin {
 
-/// Which daemon a job, or a part of one, is handed to: what is known of the
-/// holders of all shards, put before the `HolderChooser`.
+/// Chooses the daemon that a job, or a part of one, is submitted to. Collects
+/// what is known of the holders of all shards for the `HolderChooser`.
 class HolderLookup
 {
 public:
-  /// Must outlive the lookup.
+  /// The sources must outlive the lookup.
   struct Sources
   {
     const ShardTable& shards;
@@ -25,7 +25,7 @@
     const PeerReports& reports;
   };
 
-  /// `isUp`: whether a daemon can be reached; not empty.
+  /// `isUp` tells whether a daemon can be reached; it must not be empty.
   HolderLookup(VmId self,
                ZoneName zone,
                Sources sources,
@@ -34,18 +34,18 @@
   /// The holder of a shard, if it can be reached.
   std::optional<VmId> reachable(const ShardId& shard) const;
 
-  /// Whether any shard that is served has a holder that can be reached.
+  /// Whether any served shard has a holder that can be reached.
   bool hasAny() const;
 
-  /// Whether there are workers, all of them in evacuated zones.
+  /// Whether there are workers and all of them are in evacuated zones.
   bool areAllEvacuated() const;
 
-  /// Who holds the shard or, if its zone has been divided anew, that which has
-  /// workers of it.
+  /// The reachable holder of a shard. If the shard's zone has been divided
+  /// anew, the holder of the shard that has its workers now.
   std::optional<HolderChoice> next(const ShardId& shard, TimePoint now) const;
 
-  /// Where a new job goes, other than to the shards that have refused it and
-  /// to evacuated zones.
+  /// The holder for a new job, among shards that haven't refused it and whose
+  /// zone isn't evacuated.
   std::optional<HolderChoice> best(const std::set<ShardId>& refusedBy,
                                    TimePoint now);
 
--- a/src/libentry/knownjobs.cpp
+++ b/src/libentry/knownjobs.cpp
@@ -78,8 +78,8 @@
     left = now >= left->second ? m_left.erase(left) : std::next(left);
 }
 
-/// A daemon that fell silent was there until its next heartbeat was due at the
-/// latest, or it would have sent that.
+/// When all runs of a lost peer have ended. A silent peer was alive until its
+/// next heartbeat was due at the latest, or it would have sent that heartbeat.
 TimePoint
 KnownJobs::overAt(const Peer& peer)
 {
--- a/src/libentry/knownjobs.h
+++ b/src/libentry/knownjobs.h
@@ -12,19 +12,20 @@
 
 namespace cowslippin {
 
-/// Jobs that callers of other daemons have had under way for a while, as those
-/// daemons tell. A caller whose connection has broken may submit its job again
-/// here before the other daemon knows that it is gone. It does no input or
-/// output and reads no clock.
+/// The long-running jobs that peers report as in progress for their callers. A
+/// caller whose connection has broken may submit its job again here before the
+/// other daemon notices that the caller is gone. The class does no I/O and
+/// reads no clock.
 class KnownJobs
 {
 public:
-  /// What is known of a job.
+  /// Where a job is in progress.
   struct Place
   {
-    /// A daemon that can be asked to stop it; none if that was lost.
+    /// The daemon that has the job and can be asked to stop it. Empty if that
+    /// daemon was lost.
     std::optional<VmId> daemon;
-    /// When whatever a lost daemon had of it is surely over.
+    /// When all runs that the lost daemon left have ended.
     TimePoint overAt{};
 
     friend bool operator==(const Place& a, const Place& b)
@@ -34,15 +35,16 @@
     friend bool operator!=(const Place& a, const Place& b) { return !(a == b); }
   };
 
-  /// All such jobs of a daemon. Those that it told of before and that aren't
-  /// among them are over.
+  /// A peer reports all its long-running jobs. Jobs that it reported before and
+  /// that are missing now have ended.
   void told(const VmId& vm, const std::vector<LongJob>& jobs, TimePoint now);
-  /// A daemon has nothing of a job any more.
+  /// A peer has no runs of a job any more.
   void over(const VmId& vm, const JobId& job);
-  /// A daemon can't be reached any more.
+  /// A peer can no longer be reached.
   void lost(const VmId& vm, TimePoint now);
 
-  /// Nothing if no other daemon can have it under way.
+  /// Returns where a job is in progress; nothing if no other daemon can have
+  /// it.
   std::optional<Place> find(const JobId& job, TimePoint now) const;
 
 private:
@@ -58,8 +60,8 @@
   void expire(TimePoint now);
 
   std::map<VmId, Peer> m_peers;
-  /// Jobs of daemons that were lost and came back, perhaps as new processes,
-  /// and when whatever their earlier lives had of them is surely over.
+  /// Jobs of peers that were lost and came back, perhaps as new processes, and
+  /// the time by which all runs from before the loss have ended.
   std::map<JobId, TimePoint> m_left;
 };
 
--- a/src/libentry/memberlosses.cpp
+++ b/src/libentry/memberlosses.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A daemon that hasn't come back by then is taken to have ended.
+/// A peer that hasn't come back by then is considered to have ended.
 constexpr Duration endedAfter = std::chrono::seconds(30);
 
 } // namespace
--- a/src/libentry/memberlosses.h
+++ b/src/libentry/memberlosses.h
@@ -8,18 +8,17 @@
 
 namespace cowslippin {
 
-/// Daemons that were lost and haven't come back. They tell whether this one may
-/// be cut off from the larger part of the group, where its callers may submit
-/// their jobs again without its knowledge. It does no input or output and reads
-/// no clock.
+/// Peers that were lost and haven't come back. Tells whether this daemon may be
+/// partitioned from the larger part of the group, where its callers may submit
+/// their jobs again without its knowledge. It does no I/O and reads no clock.
 class MemberLosses
 {
 public:
   void lost(const VmId& vm, TimePoint now) { m_lost[vm] = now; }
   void back(const VmId& vm) { m_lost.erase(vm); }
 
-  /// Whether no more daemons can be reached, this one included, than have been
-  /// lost of late.
+  /// Whether the daemons that can be reached, this one included, are no more
+  /// than those that were lost recently.
   bool isCutOff(std::size_t reachable, TimePoint now) const;
 
 private:
--- a/src/libentry/operatorserver.h
+++ b/src/libentry/operatorserver.h
@@ -7,8 +7,8 @@
 
 namespace cowslippin {
 
-/// Answers operators: `/metrics` in the text format of Prometheus and `/state`,
-/// the state of every part as JSON.
+/// An HTTP server for operators: `/metrics` in the text format of Prometheus,
+/// and `/state`, the state of all components as JSON.
 class OperatorServer
 {
 public:
--- a/src/libentry/peercontact.cpp
+++ b/src/libentry/peercontact.cpp
@@ -6,12 +6,14 @@
 
 namespace {
 
-/// Holders send heartbeats more often when their free places change.
+/// Minimum time between two acknowledgements. Holders send heartbeats more
+/// often than this when their free slots change.
 constexpr Duration acknowledgementInterval = std::chrono::milliseconds(120);
-/// With a contact that is older, a heartbeat is sent out of turn: in a large
-/// group its turn may be far.
+/// When the last contact is older than this, a heartbeat is sent out of turn:
+/// in a large group the peer's turn may be a long time off.
 constexpr Duration askedAfter = std::chrono::milliseconds(400);
-/// By how much the clocks of two machines differ over the age of a heartbeat.
+/// How far the clocks of two machines may drift apart over the age of a
+/// heartbeat.
 constexpr Duration clockTolerance = std::chrono::milliseconds(10);
 
 } // namespace
@@ -48,7 +50,8 @@
 PeerContact::sentAfter(const PeerBeatAck& ack, Duration ackAge, TimePoint now)
 {
   const TimePoint sentAfter = TimePoint(Duration(ack.newest)) + ackAge;
-  // Of an earlier life of this machine, whose clock went further.
+  // A time in the future was sent before this machine was rebooted, when its
+  // steady clock was ahead.
   if (ack.newest == 0 || sentAfter > now + clockTolerance)
     return std::nullopt;
   return std::min(sentAfter, now);
@@ -85,7 +88,8 @@
 {
   const TimePoint settled{ Duration(ack.settled) };
   const TimePoint newest{ Duration(ack.newest) };
-  // Of an earlier life of this machine, whose clock went further.
+  // A time in the future was sent before this machine was rebooted, when its
+  // steady clock was ahead.
   if (std::max(settled, newest) > now)
     return;
   Peer& peer = m_peers[vm];
--- a/src/libentry/peercontact.h
+++ b/src/libentry/peercontact.h
@@ -11,22 +11,24 @@
 
 namespace cowslippin {
 
-/// When each other daemon was last surely alive. It does no input or output and
-/// reads no clock.
+/// Tracks when each peer was last known to be alive. It does no I/O and reads
+/// no clock.
 ///
-/// When a message is read says little: it may have waited in a socket, on a
-/// slow link or behind a busy process. So heartbeats carry the time at which
-/// they were sent, the receiver sends it back, and the sender counts from there
-/// on its own clock.
+/// The time at which a message is read isn't enough: the message may have
+/// waited in a socket, on a slow link or behind a busy process. So a heartbeat
+/// carries the time at which it was sent, the receiver sends that time back,
+/// and the sender compares it with its own clock.
 ///
-/// A daemon acknowledges for its callers as well: those that had gone before
-/// the heartbeat was sent are known to be gone. Therefore it waits for a whole
-/// round of its event loop, from one tick to the next, in which all that had
-/// arrived is read. The same goes for a daemon's own callers.
+/// An acknowledgement also covers the callers of the daemon that sends it: if
+/// one disconnected before the heartbeat was sent, the daemon knows it.
+/// Therefore a daemon acknowledges a heartbeat only after a whole round of its
+/// event loop, from one tick to the next, in which everything that had arrived
+/// is read. The same holds for a daemon's own callers.
 class PeerContact
 {
 public:
-  /// By the sender's steady clock; means nothing to others.
+  /// A time of the sender's steady clock, which has no meaning on other
+  /// machines.
   using SentAt = std::int64_t;
 
   explicit PeerContact(TimePoint now)
@@ -37,46 +39,53 @@
 
   static SentAt stamp(TimePoint now) { return now.time_since_epoch().count(); }
 
-  /// A heartbeat of another daemon was read.
+  /// A heartbeat of a peer was read.
   void beatReceived(const VmId& vm, SentAt sentAt, TimePoint now);
-  /// What to acknowledge to it with a message that is sent anyway.
+  /// The acknowledgement to attach to a message that is sent to the peer
+  /// anyway.
   PeerBeatAck acknowledgement(const VmId& vm) const;
-  /// The same if it has not been acknowledged yet, nor another one shortly
-  /// before; it is from then on.
+  /// The acknowledgement to send to the peer by itself, and marks it as sent.
+  /// Returns nothing if there is nothing new to acknowledge, or if one was sent
+  /// shortly before.
   std::optional<PeerBeatAck> takeDue(const VmId& vm, TimePoint now);
-  /// How long ago the newest heartbeat in it was read; zero if there is none.
+  /// How long ago the newest heartbeat in the acknowledgement was read; zero if
+  /// there is none.
   Duration acknowledgementAge(const VmId& vm, TimePoint now) const;
-  /// When a message with an acknowledgement was sent at the earliest, by this
-  /// daemon's clock, if that can be told.
+  /// The earliest time, by this daemon's clock, at which a message with the
+  /// given acknowledgement was sent. Returns nothing if that can't be
+  /// determined.
   static std::optional<TimePoint> sentAfter(const PeerBeatAck& ack,
                                             Duration ackAge,
                                             TimePoint now);
 
-  /// Whether it is to be sent a heartbeat out of turn, so that it acknowledges
-  /// it; false shortly after it was true.
+  /// Whether to send the peer a heartbeat out of turn, to have it acknowledged.
+  /// Returns false for some time after it returned true.
   bool takeAsking(const VmId& vm, TimePoint now);
 
-  /// Another daemon has acknowledged a heartbeat of this one.
+  /// A peer has acknowledged a heartbeat of this daemon.
   void acknowledged(const VmId& vm, const PeerBeatAck& ack, TimePoint now);
-  /// The connection to it was lost. What was told over it no longer counts.
+  /// The connection to a peer was lost. Heartbeats that it read over that
+  /// connection no longer count.
   void lost(const VmId& vm);
 
-  /// Every 20 ms or so, when all that was there before has been read.
+  /// To be called about every 20 ms, after everything that had arrived before
+  /// is read.
   void tick(TimePoint now);
 
-  /// Long ago if it never acknowledged anything.
+  /// When the peer was last known to be alive and to know which of its callers
+  /// were gone. The clock's epoch if it never acknowledged a heartbeat.
   TimePoint lastContact(const VmId& vm) const;
-  /// Until when it has been told of this daemon: when the newest heartbeat that
-  /// it has read was sent.
+  /// The time at which the newest heartbeat that the peer has read was sent.
   TimePoint toldUntil(const VmId& vm) const;
-  /// The same of this daemon and its own callers.
+  /// The same as `lastContact` for this daemon and its own callers.
   TimePoint ownContact() const { return m_previousTickAt; }
 
 private:
   struct Peer
   {
-    /// Of the newest heartbeat, and of the newest that was read before the
-    /// round of the event loop that is over.
+    /// When heartbeats were sent, by the peer's clock: the newest one, the
+    /// newest one at the last tick, and the newest one that was read before the
+    /// last complete round of the event loop.
     SentAt newest = 0;
     TimePoint newestAt{};
     SentAt atTick = 0;
--- a/src/libentry/peerreports.h
+++ b/src/libentry/peerreports.h
@@ -7,8 +7,7 @@
 
 namespace cowslippin {
 
-/// What the other daemons have told of themselves and of the shards that they
-/// hold.
+/// The last report of each peer about itself and the shards that it holds.
 class PeerReports
 {
 public:
@@ -17,13 +16,14 @@
 
   void received(const VmId& vm, const PeerBeat& beat, TimePoint now);
 
-  /// Free places of a shard, by its holder's last report; 0 if it told of none.
+  /// Free slots of a shard by its holder's last report; 0 if the peer didn't
+  /// report the shard.
   unsigned places(const VmId& holder, const ShardId& shard) const;
 
-  /// How old the daemon's last report is; nothing if there is none.
+  /// The age of the peer's last report; nothing if there is none.
   std::optional<Duration> age(const VmId& vm, TimePoint now) const;
 
-  /// What a daemon told last of the workers of a shard that it holds.
+  /// The digest of a shard's workers by its holder's last report.
   std::optional<ShardDigest> workers(const VmId& holder,
                                      const ShardId& shard) const;
 
@@ -35,7 +35,7 @@
     std::map<ShardId, HeldShard> shards;
   };
 
-  /// Null if the daemon hasn't told that it holds the shard.
+  /// Null if the peer hasn't reported that it holds the shard.
   const HeldShard* find(const VmId& holder, const ShardId& shard) const;
 
   std::map<VmId, Peer> m_peers;
--- a/src/libentry/routingtable.h
+++ b/src/libentry/routingtable.h
@@ -11,19 +11,19 @@
 
 namespace cowslippin {
 
-/// Where callers find a queue, and how its jobs are treated.
+/// The host and path of a queue, and how its jobs are treated.
 struct Route
 {
   std::string host;
   std::string pathPrefix;
   QueuePolicy policy;
-  /// A request that takes longer is given up.
+  /// Requests that take longer are cancelled.
   Duration timeout = std::chrono::seconds(30);
-  /// Set if jobs of this queue can't be served yet: why.
+  /// Why jobs of this queue can't be served yet; empty if they can.
   std::string unsupported;
 };
 
-/// The configuration in force: all queues, as of one version.
+/// The configuration in force: all queues of one version.
 class RoutingTable
 {
 public:
@@ -34,14 +34,14 @@
   {
   }
 
-  /// Rises with each change; 0 if there is no configuration yet.
+  /// Increases with each change; 0 if there is no configuration yet.
   std::uint64_t version() const { return m_version; }
   const std::vector<Route>& routes() const { return m_routes; }
 
-  /// The route of this host with the longest prefix of the path, or null.
+  /// The route of this host with the longest matching path prefix, or null.
   const Route* find(std::string_view host, std::string_view path) const;
 
-  /// Whether any queue's tasks run on this service's workers.
+  /// Whether the tasks of any queue run on workers of this service.
   bool uses(const ServiceName& service) const;
 
 private:
--- a/src/libentry/strainmeter.cpp
+++ b/src/libentry/strainmeter.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// Weight of the newest tick in the mean lateness; it spans some 300 ms.
+/// Weight of the newest tick in the moving average, which thus spans some 300
+/// ms.
 constexpr double newestWeight = 0.07;
 
 } // namespace
--- a/src/libentry/strainmeter.h
+++ b/src/libentry/strainmeter.h
@@ -6,8 +6,8 @@
 
 namespace cowslippin {
 
-/// Tells by the lateness of its ticks whether this process gets too little
-/// processor time for what it does.
+/// Detects overload: tells by the lateness of its ticks whether this process
+/// gets too little processor time for its work.
 class StrainMeter
 {
 public:
@@ -15,21 +15,22 @@
   {
     /// Time between two ticks.
     Duration tickInterval = std::chrono::milliseconds(20);
-    /// Mean lateness of ticks from which the process is strained, and below
-    /// which it no longer is. The silence limit between daemons is 450 ms,
-    /// heartbeats come each 140 ms.
+    /// The process counts as overloaded when the mean lateness of ticks rises
+    /// above the first value, until the mean falls to the second one. For
+    /// comparison, the silence limit between daemons is 450 ms, and a heartbeat
+    /// is sent every 140 ms.
     Duration strainLateness = std::chrono::milliseconds(60);
     Duration calmLateness = std::chrono::milliseconds(15);
   };
 
   explicit StrainMeter(Settings settings);
 
-  /// To be called at each tick. True if `isStrained` has changed.
+  /// To be called at each tick. Returns true if `isStrained` has changed.
   bool ticked(TimePoint now);
 
   bool isStrained() const { return m_isStrained; }
 
-  /// Moving mean of how late the ticks come.
+  /// Exponential moving average of how late the ticks come.
   Duration lateness() const { return m_lateness; }
 
 private:
--- a/src/libentry/tokensource.cpp
+++ b/src/libentry/tokensource.cpp
@@ -7,16 +7,19 @@
 
 namespace {
 
-/// Tokens are the time of day in milliseconds since 2024 times this, and a
-/// rest of the process's own, so that two daemons don't make the same one. They
-/// stay below 2^53, which any JSON reader takes exactly.
+/// A token is the time of day in milliseconds since 2024 times `tokensPerMs`,
+/// plus a remainder that depends on the process, so that two daemons don't
+/// generate the same token. Tokens stay below 2^53, which any JSON parser reads
+/// exactly.
 constexpr std::uint64_t tokensPerMs = 4096;
 constexpr std::int64_t tokenEpochMs = 1704067200000;
-/// Above the highest token that is known of.
+/// Minimum increment above the highest known token.
 constexpr std::uint64_t usualMargin = tokensPerMs;
-/// Three seconds, more than clocks of the machines differ by.
+/// Minimum increment after a refusal: three seconds, which is more than the
+/// clocks of the machines differ by.
 constexpr std::uint64_t refusalMargin = 3000 * tokensPerMs;
-/// It is doubled at most so often, up to 51 minutes.
+/// Maximum number of doublings of `refusalMargin`; it then stands for 51
+/// minutes.
 constexpr unsigned maxDoublings = 10;
 
 } // namespace
--- a/src/libentry/tokensource.h
+++ b/src/libentry/tokensource.h
@@ -7,27 +7,28 @@
 
 namespace cowslippin {
 
-/// Makes fencing tokens that are higher than all that this daemon has heard of,
-/// and follow the time of day, so that a daemon that has heard of none yet
-/// makes a high one too.
+/// Generates fencing tokens. Each is higher than all tokens that this daemon
+/// knows of. Tokens follow the time of day, so that a daemon that knows of none
+/// yet generates a high one too.
 class TokenSource
 {
 public:
-  /// `timeOfDay` is in milliseconds since 1970 and may jump. `processNumber`
+  /// `timeOfDay` returns milliseconds since 1970 and may jump. `processNumber`
   /// differs from one process to the next.
   TokenSource(std::function<std::int64_t()> timeOfDay,
               std::uint64_t processNumber);
 
-  /// A token is in use somewhere.
+  /// A token is in use at another daemon or a worker.
   void seen(FencingToken token);
 
   FencingToken next();
 
-  /// A worker has refused a token, for a higher one that isn't known here: the
-  /// time of day of whoever made it is ahead, or daemons have outbid each other
-  /// before. The next one is higher by more than clocks differ, and by twice as
-  /// much after each further refusal in a row: three minutes of tokens are made
-  /// up for in seven.
+  /// Generates a token after a worker has refused one in favour of a higher
+  /// token that this daemon doesn't know. Either the clock of the daemon that
+  /// made the higher one is ahead, or daemons have outbid each other before.
+  /// The new token is higher by more than the clocks of machines differ, and
+  /// the increment doubles with each further refusal in a row: seven refusals
+  /// make up for a difference of three minutes.
   FencingToken nextAfterRefusal(unsigned refusals);
 
   FencingToken highest() const { return m_highest; }
--- a/src/libentry/vacancyprobe.cpp
+++ b/src/libentry/vacancyprobe.cpp
@@ -56,8 +56,8 @@
   }
 }
 
-/// A worker that can't be reached tells nothing; one that refuses the token has
-/// been taken by somebody.
+/// Records the answer of a worker. One that can't be reached counts for
+/// nothing; one that refuses the token has been leased by another daemon.
 void
 VacancyProbe::answered(const ShardId& shard,
                        const WorkerId& worker,
--- a/src/libentry/vacancyprobe.h
+++ b/src/libentry/vacancyprobe.h
@@ -12,30 +12,31 @@
 
 namespace cowslippin {
 
-/// Finds out whether anybody still uses the workers of a shard whose
-/// availability zone has no daemon that can be heard.
+/// Finds out whether any daemon still uses the workers of a shard whose
+/// availability zone has no reachable daemon.
 ///
-/// It answers the loss of a zone's only daemon. The daemon may be dead, or only
-/// cut off from the others while it goes on serving; a fixed wait long enough
-/// for the second case leaves a third of all workers unused in the first. The
-/// workers know: a holder takes note of a run's end within milliseconds, so
-/// that an end that stays listed has nobody who waits for it. What a dead
-/// daemon left behind ends with its lease at the latest, 0.8 s after the last
-/// renewal. They are asked with the holder's own token, which changes nothing.
+/// The probe handles the loss of a zone's only daemon. That daemon may be dead,
+/// or only partitioned from the others while it goes on serving. A fixed wait
+/// long enough for the second case would leave a third of all workers unused in
+/// the first. The workers know: a holder acknowledges the end of a run within
+/// milliseconds, so an end that a worker keeps listing has no daemon that waits
+/// for it. Runs that a dead daemon left end with its lease at the latest, 0.8 s
+/// after the last renewal. The workers are asked with the holder's own token,
+/// which changes nothing on them.
 class VacancyProbe
 {
 public:
   struct Settings
   {
-    /// Between the starts of two rounds.
+    /// Time between the starts of two rounds.
     Duration interval = std::chrono::milliseconds(120);
-    /// As for any other report.
+    /// The same timeout as for any other report of a worker.
     Duration orderTimeout = std::chrono::milliseconds(90);
-    /// How many workers are asked in a round.
+    /// Number of workers that are asked in a round.
     std::size_t workers = 8;
-    /// Rounds in a row, after the first that has seen it, in which an end stays
-    /// listed: together a third of a second, in which a holder asks each worker
-    /// more than once.
+    /// Number of rounds in a row, after the one that first saw it, in which an
+    /// end has to stay listed. Together they take a third of a second, in which
+    /// a holder asks each worker more than once.
     unsigned rounds = 3;
   };
 
@@ -45,20 +46,23 @@
 
   VacancyProbe(Settings settings, Hold hold);
 
-  /// Asks some of the shard's workers, unless they were asked just before.
+  /// Starts a round: asks some of the shard's workers. Does nothing while a
+  /// round is in progress or if the last one has just started.
   void probe(const ShardId& shard,
              FencingToken token,
              const std::vector<WorkerRecord>& workers,
              TimePoint now);
 
-  /// Whether the last rounds have shown that nobody uses the shard's workers.
+  /// Whether the last rounds have shown that no daemon uses the shard's
+  /// workers.
   bool isVacant(const ShardId& shard) const;
 
-  /// Forgets what was found of other shards.
+  /// Drops the results of all other shards.
   void keepOnly(const std::set<ShardId>& shards);
 
 private:
-  /// The first end that each worker lists, and in which of its lives.
+  /// The first ended run that each worker lists, with the incarnation of the
+  /// worker.
   using Ends = std::map<WorkerId, std::pair<WorkerBirth, std::uint64_t>>;
 
   struct Round
