--- a/src/libentry/configurationfetch.cpp
+++ b/src/libentry/configurationfetch.cpp
@@ -33,8 +33,8 @@
 {
   m_peers.erase(vm);
   findNewest();
-  if (m_asked && m_asked->vm == vm)
-    m_asked.reset();
+  if (m_pendingRequest && m_pendingRequest->vm == vm)
+    m_pendingRequest.reset();
 }
 
 void
@@ -52,15 +52,15 @@
 void
 ConfigurationFetch::refused(TimePoint now)
 {
-  m_notBefore = now + m_settings.refusedPause;
+  m_nextRequestAt = now + m_settings.refusedPause;
 }
 
 void
 ConfigurationFetch::findNewest()
 {
-  m_newestTold = 0;
+  m_newestReported = 0;
   for (const auto& [vm, peer] : m_peers)
-    m_newestTold = std::max(m_newestTold, peer.version);
+    m_newestReported = std::max(m_newestReported, peer.version);
 }
 
 std::optional<ConfigurationFetch::Request>
@@ -78,19 +78,19 @@
     request.message.version = m_transfer->version;
     request.message.offset = m_transfer->body.size();
   }
-  if (*source != m_lastAsked || !m_transfer)
-    logAsked(request, now);
-  m_asked = { *source, now };
-  m_lastAsked = *source;
+  if (*source != m_lastSource || !m_transfer)
+    logRequest(request, now);
+  m_pendingRequest = { *source, now };
+  m_lastSource = *source;
   return request;
 }
 
 void
 ConfigurationFetch::busy(const VmId& vm, TimePoint now)
 {
-  setAside(vm, now + m_settings.busyPause);
-  if (m_asked && m_asked->vm == vm)
-    m_asked.reset();
+  backOff(vm, now + m_settings.busyPause);
+  if (m_pendingRequest && m_pendingRequest->vm == vm)
+    m_pendingRequest.reset();
 }
 
 std::optional<std::string>
@@ -99,7 +99,7 @@
                              TimePoint now)
 {
   answered(vm, now);
-  if (!isSound(part) || !append(vm, part)) {
+  if (!isWellFormed(part) || !append(vm, part)) {
     refusePart(vm, part, now);
     return std::nullopt;
   }
@@ -114,10 +114,10 @@
 void
 ConfigurationFetch::answered(const VmId& vm, TimePoint now)
 {
-  if (!m_asked || m_asked->vm != vm)
+  if (!m_pendingRequest || m_pendingRequest->vm != vm)
     return;
-  const Duration took = now - m_asked->at;
-  m_asked.reset();
+  const Duration took = now - m_pendingRequest->at;
+  m_pendingRequest.reset();
   if (took < m_settings.shortPartTime)
     m_partBytes = std::min(2 * m_partBytes, m_settings.maxPartBytes);
   else if (took > m_settings.longPartTime)
@@ -156,7 +156,7 @@
                                const PeerConfigPart& part,
                                TimePoint now)
 {
-  setAside(vm, now + m_settings.silentPause);
+  backOff(vm, now + m_settings.silentPause);
   // The platform may have delivered this version in the meantime.
   if (part.version <= m_inForce)
     return;
@@ -170,11 +170,11 @@
 }
 
 void
-ConfigurationFetch::setAside(const VmId& vm, TimePoint until)
+ConfigurationFetch::backOff(const VmId& vm, TimePoint until)
 {
   const auto peer = m_peers.find(vm);
   if (peer != m_peers.end())
-    peer->second.notBefore = until;
+    peer->second.nextRequestAt = until;
 }
 
 /// Whether a newer version is known and the platform has had its head start.
@@ -184,32 +184,32 @@
   if (newest() == m_inForce) {
     m_behindSince.reset();
     m_transfer.reset();
-    m_asked.reset();
+    m_pendingRequest.reset();
     return false;
   }
   if (!m_behindSince)
     m_behindSince = now;
   Duration wait =
-    m_inForce == 0 ? m_settings.startHeadStart : m_settings.headStart;
+    m_inForce == 0 ? m_settings.initialHeadStart : m_settings.headStart;
   if (isArriving)
     wait = m_settings.arrivalTime;
-  return now - *m_behindSince >= wait && now >= m_notBefore;
+  return now - *m_behindSince >= wait && now >= m_nextRequestAt;
 }
 
 bool
 ConfigurationFetch::awaitsAnswer(TimePoint now)
 {
-  if (!m_asked)
+  if (!m_pendingRequest)
     return false;
-  if (now - m_asked->at < m_settings.answerTime)
+  if (now - m_pendingRequest->at < m_settings.answerTime)
     return true;
   logEvent(LogLevel::Warning,
            "configuration-unanswered",
-           { { "peer", m_asked->vm },
-             { "waitedMs", toMilliseconds(now - m_asked->at) } });
-  setAside(m_asked->vm, now + m_settings.silentPause);
+           { { "peer", m_pendingRequest->vm },
+             { "waitedMs", toMilliseconds(now - m_pendingRequest->at) } });
+  backOff(m_pendingRequest->vm, now + m_settings.silentPause);
   m_partBytes = m_settings.minPartBytes;
-  m_asked.reset();
+  m_pendingRequest.reset();
   return false;
 }
 
@@ -238,10 +238,10 @@
   std::optional<std::pair<Rank, VmId>> best;
   for (const auto& [vm, peer] : m_peers) {
     const bool isSource = m_transfer && vm == m_transfer->source;
-    const bool goesOn =
+    const bool continuesTransfer =
       isSource || (m_transfer && peer.version == m_transfer->version);
-    if (now < peer.notBefore || peer.version <= m_inForce ||
-        (!mayRestart && !goesOn))
+    if (now < peer.nextRequestAt || peer.version <= m_inForce ||
+        (!mayRestart && !continuesTransfer))
       continue;
     const std::size_t hash =
       std::hash<std::string>()(m_settings.self.value() + '|' + vm.value());
@@ -257,7 +257,7 @@
 }
 
 bool
-ConfigurationFetch::isSound(const PeerConfigPart& part) const
+ConfigurationFetch::isWellFormed(const PeerConfigPart& part) const
 {
   return !part.bytes.empty() && part.size <= m_settings.maxBytes &&
          part.offset <= part.size &&
@@ -265,7 +265,7 @@
 }
 
 void
-ConfigurationFetch::logAsked(const Request& request, TimePoint now) const
+ConfigurationFetch::logRequest(const Request& request, TimePoint now) const
 {
   logEvent(LogLevel::Info,
            "configuration-asked",
--- a/src/libentry/configurationfetch.h
+++ b/src/libentry/configurationfetch.h
@@ -38,7 +38,7 @@
     /// The same wait while no configuration is in force and so no caller is
     /// served. A response of the platform takes 4 ms, and up to 60 times as
     /// long when it is slow.
-    Duration startHeadStart = std::chrono::milliseconds(100);
+    Duration initialHeadStart = std::chrono::milliseconds(100);
     /// The same wait while a response of the platform is being received. A
     /// configuration has to be in force 2 s after the platform has acknowledged
     /// it.
@@ -87,7 +87,7 @@
   void refused(TimePoint now);
 
   /// The highest version that is in force here or reported by a peer.
-  std::uint64_t newest() const { return std::max(m_inForce, m_newestTold); }
+  std::uint64_t newest() const { return std::max(m_inForce, m_newestReported); }
 
   /// Returns the next request to send, if any. `isArriving` tells whether a
   /// response of the platform is being received.
@@ -106,7 +106,7 @@
   {
     ZoneName zone;
     std::uint64_t version = 0;
-    TimePoint notBefore{};
+    TimePoint nextRequestAt{};
   };
   /// The parts received so far.
   struct Transfer
@@ -116,7 +116,7 @@
     VmId source;
     std::string body;
   };
-  struct Asked
+  struct PendingRequest
   {
     VmId vm;
     TimePoint at{};
@@ -128,25 +128,25 @@
   void answered(const VmId& vm, TimePoint now);
   bool append(const VmId& vm, const PeerConfigPart& part);
   void refusePart(const VmId& vm, const PeerConfigPart& part, TimePoint now);
-  void setAside(const VmId& vm, TimePoint until);
+  void backOff(const VmId& vm, TimePoint until);
   std::optional<VmId> chooseSource(TimePoint now);
   std::optional<VmId> bestSource(TimePoint now, bool mayRestart) const;
-  bool isSound(const PeerConfigPart& part) const;
-  void logAsked(const Request& request, TimePoint now) const;
+  bool isWellFormed(const PeerConfigPart& part) const;
+  void logRequest(const Request& request, TimePoint now) const;
 
   const Settings m_settings;
   std::map<VmId, Peer> m_peers;
   std::uint64_t m_inForce = 0;
   /// The highest version that a reachable peer has reported.
-  std::uint64_t m_newestTold = 0;
+  std::uint64_t m_newestReported = 0;
   /// When this daemon learned of a version newer than the one in force; unset
   /// while there is none.
   std::optional<TimePoint> m_behindSince;
-  TimePoint m_notBefore{};
+  TimePoint m_nextRequestAt{};
   std::optional<Transfer> m_transfer;
-  std::optional<Asked> m_asked;
+  std::optional<PendingRequest> m_pendingRequest;
   std::uint64_t m_partBytes;
-  VmId m_lastAsked;
+  VmId m_lastSource;
 };
 
 } // namespace cowslippin
--- a/src/libentry/configurationsource.cpp
+++ b/src/libentry/configurationsource.cpp
@@ -71,14 +71,14 @@
 ConfigurationSource::makePart(const Version& version,
                               const PeerConfigRequest& request) const
 {
-  const bool goesOn =
+  const bool continuesTransfer =
     request.version == version.number && request.offset < version.body->size();
   const std::uint64_t bytes = std::clamp(
     request.maxBytes, m_settings.minPartBytes, m_settings.maxPartBytes);
   PeerConfigPart part;
   part.version = version.number;
   part.size = version.body->size();
-  part.offset = goesOn ? request.offset : 0;
+  part.offset = continuesTransfer ? request.offset : 0;
   part.bytes = version.body->substr(part.offset, bytes);
   return part;
 }
--- a/src/libentry/directoryreaders.cpp
+++ b/src/libentry/directoryreaders.cpp
@@ -15,9 +15,9 @@
 bool
 DirectoryReaders::isReader(const MemberIndex::Members& members) const
 {
-  const auto ranks = ranked(members);
-  const auto place = std::find(ranks.begin(), ranks.end(), m_self);
-  return place - ranks.begin() < static_cast<std::ptrdiff_t>(perZone);
+  const auto ranking = rankedDaemons(members);
+  const auto position = std::find(ranking.begin(), ranking.end(), m_self);
+  return position - ranking.begin() < static_cast<std::ptrdiff_t>(perZone);
 }
 
 std::vector<VmId>
@@ -25,25 +25,25 @@
 {
   if (!isReader(members))
     return {};
-  std::vector<VmId> ranks = ranked(members);
-  ranks.erase(ranks.begin(),
-              ranks.begin() +
-                static_cast<std::ptrdiff_t>(std::min(perZone, ranks.size())));
-  return ranks;
+  std::vector<VmId> ranking = rankedDaemons(members);
+  ranking.erase(ranking.begin(),
+                ranking.begin() + static_cast<std::ptrdiff_t>(
+                                    std::min(perZone, ranking.size())));
+  return ranking;
 }
 
 std::vector<VmId>
-DirectoryReaders::ranked(const MemberIndex::Members& members) const
+DirectoryReaders::rankedDaemons(const MemberIndex::Members& members) const
 {
-  std::vector<std::pair<int, VmId>> ranks = { { m_slowness, m_self } };
+  std::vector<std::pair<int, VmId>> ranking = { { m_slowness, m_self } };
   for (const auto& [vm, member] : members) {
     if (member.zone == m_zone && member.isReady && !member.isLeaving)
-      ranks.emplace_back(member.slowness, vm);
+      ranking.emplace_back(member.slowness, vm);
   }
-  std::sort(ranks.begin(), ranks.end());
+  std::sort(ranking.begin(), ranking.end());
   std::vector<VmId> vms;
-  vms.reserve(ranks.size());
-  for (const auto& [slowness, vm] : ranks)
+  vms.reserve(ranking.size());
+  for (const auto& [slowness, vm] : ranking)
     vms.push_back(vm);
   return vms;
 }
--- a/src/libentry/directoryreaders.h
+++ b/src/libentry/directoryreaders.h
@@ -32,7 +32,7 @@
 
 private:
   /// The daemons of the zone, the fastest first.
-  std::vector<VmId> ranked(const MemberIndex::Members& members) const;
+  std::vector<VmId> rankedDaemons(const MemberIndex::Members& members) const;
 
   const VmId m_self;
   const ZoneName m_zone;
--- a/src/libentry/entrycore.cpp
+++ b/src/libentry/entrycore.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 /// Minimum time between two messages to other holders about free slots.
-constexpr Duration placesInterval = std::chrono::milliseconds(30);
+constexpr Duration slotReportInterval = std::chrono::milliseconds(30);
 /// The same per holder that receives the message, so that the cost for a daemon
 /// doesn't grow with the group.
-constexpr Duration placesIntervalEach = std::chrono::milliseconds(10);
+constexpr Duration slotReportIntervalPerHolder = std::chrono::milliseconds(10);
 /// How long before the platform kills this process it exits by itself.
 constexpr Duration exitMargin = std::chrono::milliseconds(400);
 /// How long jobs that were reported to the peers go on in the smaller part of a
@@ -23,9 +23,9 @@
 /// that a peer is gone, and that peer may have stopped receiving from this
 /// daemon 450 ms before that. These 340 ms are what is left of
 /// `wantedRunLimit`.
-constexpr Duration cutOffLimit = std::chrono::milliseconds(340);
+constexpr Duration partitionedJobLimit = std::chrono::milliseconds(340);
 /// How often to check whether all peers have reported.
-constexpr Duration informRetry = std::chrono::milliseconds(10);
+constexpr Duration peerReportPollInterval = std::chrono::milliseconds(10);
 
 ConfigurationSync::Settings
 configurationSettings(const EntryCore::Settings& settings)
@@ -50,24 +50,24 @@
   , m_scheduler(m_settings.vm, m_settings.scheduler, schedulerHooks())
   , m_gateway(m_settings.vm, m_settings.gateway, gatewayHooks())
   , m_configuration(configurationSettings(m_settings), configurationHooks())
-  , m_contact(m_clocks.steady())
-  , m_informedAt(m_clocks.steady() + m_settings.informTime)
-  , m_foundAllAt(m_clocks.steady() + m_settings.findTime)
-  , m_holders(m_settings.vm,
-              m_settings.zone,
-              { m_shards, m_scheduler, m_reports },
-              m_links.isUp)
+  , m_peerContact(m_clocks.steady())
+  , m_peersReportedAt(m_clocks.steady() + m_settings.peerReportWait)
+  , m_discoveryEndsAt(m_clocks.steady() + m_settings.discoveryTime)
+  , m_holderLookup(m_settings.vm,
+                   m_settings.zone,
+                   { m_shards, m_scheduler, m_peerReports },
+                   m_links.isUp)
   , m_tokens(m_clocks.timeOfDay, m_clocks.processNumber)
-  , m_vacancy(m_settings.vacancy, m_ports.hold)
-  , m_readers(m_settings.vm, m_settings.zone, m_settings.slowness)
-  , m_strain(m_settings.strain)
+  , m_vacancyProbe(m_settings.vacancyProbe, m_ports.hold)
+  , m_directoryReaders(m_settings.vm, m_settings.zone, m_settings.slowness)
+  , m_overload(m_settings.overload)
   , m_heartbeats(m_settings.heartbeats)
   , m_lastBootTime(m_clocks.sinceBoot())
   , m_grace(m_settings.grace)
 {
   m_shards.setSlowness(m_settings.slowness);
   m_shards.setCarried(carriedWorkers(m_settings.limits));
-  boundShards(m_clocks.steady());
+  updateShardSizes(m_clocks.steady());
 }
 
 void
@@ -92,7 +92,7 @@
 {
   m_shards.setReady(m_hasWorkers);
   if (m_hasWorkers)
-    listWorkers(m_clocks.steady());
+    updateWorkerList(m_clocks.steady());
 }
 
 void
@@ -102,13 +102,13 @@
   m_hasWorkers = true;
   m_shards.setReady(m_configuration.version() > 0);
   m_workers = workers;
-  listWorkers(now);
+  updateWorkerList(now);
 }
 
 /// Keeps only the workers of services that a queue uses. Other entries may come
 /// from another writer, and their workers must not be leased.
 void
-EntryCore::listWorkers(TimePoint now)
+EntryCore::updateWorkerList(TimePoint now)
 {
   WorkerList used;
   for (const auto& [id, record] : m_workers) {
@@ -116,13 +116,13 @@
       used[id] = record;
   }
   m_scheduler.setList(used, now);
-  divisionRead(now);
+  applyShardDivision(now);
 }
 
 /// Releases held shards that no longer exist because the workers of their zone
 /// were divided anew.
 void
-EntryCore::divisionRead(TimePoint now)
+EntryCore::applyShardDivision(TimePoint now)
 {
   const std::set<ShardId> shards = m_scheduler.shards();
   m_shards.setShards(shards);
@@ -140,7 +140,7 @@
 void
 EntryCore::passOn(const PeerWorkerNews& news)
 {
-  m_links.sendToEach(m_readers.followers(m_shards.members()), news);
+  m_links.sendToEach(m_directoryReaders.followers(m_shards.members()), news);
 }
 
 void
@@ -198,21 +198,22 @@
 bool
 EntryCore::isReady() const
 {
-  return !isLeaving() && m_configuration.version() > 0 && m_holders.hasAny();
+  return !isLeaving() && m_configuration.version() > 0 &&
+         m_holderLookup.hasReachableHolder();
 }
 
 Gateway::Ticket
 EntryCore::submit(JobSubmission submission, Gateway::Done done)
 {
   const TimePoint now = observeTime();
-  submission.unreadFor = now - m_contact.ownContact();
+  submission.unreadFor = now - m_peerContact.ownContact();
   return m_gateway.submit(std::move(submission), std::move(done), now);
 }
 
 void
-EntryCore::callerGone(Gateway::Ticket ticket)
+EntryCore::callerGone(Gateway::Ticket callerId)
 {
-  m_gateway.callerGone(ticket, observeTime());
+  m_gateway.callerGone(callerId, observeTime());
 }
 
 void
@@ -221,8 +222,8 @@
   if (isLeaving())
     return;
   const TimePoint now = observeTime();
-  m_leaveAt = now;
-  m_left = std::move(ended);
+  m_shutdownStartedAt = now;
+  m_onShutdownDone = std::move(ended);
   m_shards.setLeaving();
   beat(now);
 }
@@ -230,7 +231,8 @@
 bool
 EntryCore::acceptsCallers() const
 {
-  return !m_leaveAt || m_clocks.steady() - *m_leaveAt < m_settings.unreadyTime;
+  return !m_shutdownStartedAt ||
+         m_clocks.steady() - *m_shutdownStartedAt < m_settings.balancerDelay;
 }
 
 std::set<ShardId>
@@ -347,11 +349,11 @@
   };
   hooks.fenced = [this](const ShardId& shard) { m_fenced.insert(shard); };
   hooks.lastContact = [this](const VmId& vm) {
-    return vm == m_settings.vm ? m_contact.ownContact()
-                               : m_contact.lastContact(vm);
+    return vm == m_settings.vm ? m_peerContact.ownContact()
+                               : m_peerContact.lastContact(vm);
   };
   hooks.toldUntil = [this](const VmId& vm) {
-    return vm == m_settings.vm ? TimePoint::max() : m_contact.toldUntil(vm);
+    return vm == m_settings.vm ? TimePoint::max() : m_peerContact.toldUntil(vm);
   };
   return hooks;
 }
@@ -361,14 +363,14 @@
 {
   Gateway::Hooks hooks;
   hooks.nextHolder = [this](const ShardId& shard) {
-    return m_holders.next(shard, m_clocks.steady());
+    return m_holderLookup.next(shard, m_clocks.steady());
   };
   hooks.bestHolder = [this](const std::set<ShardId>& refusedBy) {
-    return m_holders.best(refusedBy, m_clocks.steady());
+    return m_holderLookup.best(refusedBy, m_clocks.steady());
   };
-  hooks.areAllEvacuated = [this] { return m_holders.areAllEvacuated(); };
+  hooks.areAllEvacuated = [this] { return m_holderLookup.areAllEvacuated(); };
   hooks.workers = [this](const VmId& vm, const ShardId& shard) {
-    return m_reports.workers(vm, shard);
+    return m_peerReports.workers(vm, shard);
   };
   hooks.submit = [this](const VmId& vm, const JobRequest& request) {
     return submitTo(vm, request);
@@ -376,8 +378,10 @@
   hooks.cancel = [this](const VmId& vm, const JobKey& key) {
     cancelAt(vm, key);
   };
-  hooks.keep = [this](const VmId& vm, const JobKey& key) { keepAt(vm, key); };
-  hooks.toldUntil = [this] { return allToldUntil(); };
+  hooks.keep = [this](const VmId& vm, const JobKey& key) {
+    confirmReportedAt(vm, key);
+  };
+  hooks.toldUntil = [this] { return allReportedUntil(); };
   hooks.underWayAt = [this](const JobId& job) { return underWayAt(job); };
   hooks.recall = [this](const VmId& vm, const PeerRecall& recall) {
     m_links.send(vm, recall);
@@ -391,12 +395,12 @@
   const TimePoint now = observeTime();
   m_lastReadAt[hello.vm] = now;
   m_losses.back(hello.vm);
-  m_reports.setZone(hello.vm, hello.zone);
+  m_peerReports.setZone(hello.vm, hello.zone);
   // The close flag is stored per connection, and one connection may replace
   // another without a reported loss.
-  m_links.setClose(hello.vm, m_close.count(hello.vm) > 0);
-  sendBeats({ hello.vm }, now);
-  tellUnresolved({ hello.vm }, m_scheduler.unresolvedStarts().all(), now);
+  m_links.setClose(hello.vm, m_closePeers.count(hello.vm) > 0);
+  sendHeartbeats({ hello.vm }, now);
+  sendUnresolved({ hello.vm }, m_scheduler.unresolvedStarts().all(), now);
 }
 
 TimePoint
@@ -407,7 +411,7 @@
   m_lastBootTime = boot;
   const TimePoint now = m_clocks.steady();
   if (gap > m_settings.pauseLimit)
-    pauseNoticed(now, gap);
+    handlePause(now, gap);
   return now;
 }
 
@@ -415,14 +419,14 @@
 /// jobs again elsewhere. So nothing is started before all messages that came in
 /// during the pause are read.
 void
-EntryCore::pauseNoticed(TimePoint now, Duration gap)
+EntryCore::handlePause(TimePoint now, Duration gap)
 {
   logDecision(
     LogLevel::Warning, "pause-noticed", { { "gapMs", toMilliseconds(gap) } });
-  m_resumeAt = now + m_settings.wakeTime;
+  m_resumeAt = now + m_settings.resumeDelay;
   // Runs of a daemon that was lost unnoticed during the pause have ended by
   // then.
-  m_informedAt = now + lostRunLimit;
+  m_peersReportedAt = now + lostRunLimit;
   m_scheduler.suspend(now);
   m_gateway.tellAnew(now - gap + wantedRunLimit);
   m_links.dropAll();
@@ -436,65 +440,65 @@
     m_resumeAt.reset();
     m_scheduler.resume(now);
   }
-  noticeStrain(now);
+  updateOverload(now);
   m_shards.setKnownMembers(m_links.knownCount());
   probeOrphans(now);
-  applyDecisions(now);
+  applyShardDecisions(now);
   m_configuration.tick(now);
-  m_contact.tick(now);
-  acknowledgeBeats(now);
+  m_peerContact.tick(now);
+  acknowledgeHeartbeats(now);
   m_scheduler.tick(now);
-  tellNewUnresolved(now);
+  sendNewUnresolved(now);
   m_gateway.tick(now);
-  if (now - m_lastBeatAt >= m_settings.heartbeats.interval)
-    beatInTurn(now);
+  if (now - m_lastHeartbeatAt >= m_settings.heartbeats.interval)
+    sendScheduledHeartbeats(now);
   else
-    beatHolders(now);
-  if (now - m_lastPlatformBeatAt >= m_settings.platformBeatInterval) {
-    m_lastPlatformBeatAt = now;
+    reportFreeSlots(now);
+  if (now - m_lastPlatformHeartbeatAt >= m_settings.platformHeartbeatInterval) {
+    m_lastPlatformHeartbeatAt = now;
     for (const auto& [shard, token] : m_shards.held())
       m_ports.publishHolder(shard, m_tokens.highest());
   }
-  checkLeaving(now);
+  checkShutdown(now);
 }
 
 /// Sends a heartbeat to all peers at once.
 void
 EntryCore::beat(TimePoint now)
 {
-  m_lastHolderBeatAt = now;
-  m_toldPlaces = sparePlaces(now);
+  m_lastSlotReportAt = now;
+  m_reportedPlaces = sparePlaces(now);
   const std::set<VmId> up = m_links.up();
-  sendBeats({ up.begin(), up.end() }, now);
+  sendHeartbeats({ up.begin(), up.end() }, now);
 }
 
 void
-EntryCore::beatInTurn(TimePoint now)
+EntryCore::sendScheduledHeartbeats(TimePoint now)
 {
-  boundShards(now);
-  updateClose();
-  m_isDirectoryReader = m_readers.isReader(m_shards.members());
-  m_lastBeatAt = now;
-  const auto due = m_heartbeats.due(m_links.up(), m_close, now);
-  if (m_heartbeats.isEachDue()) {
-    m_lastHolderBeatAt = now;
-    m_toldPlaces = sparePlaces(now);
+  updateShardSizes(now);
+  updateClosePeers();
+  m_isDirectoryReader = m_directoryReaders.isReader(m_shards.members());
+  m_lastHeartbeatAt = now;
+  const auto due = m_heartbeats.due(m_links.up(), m_closePeers, now);
+  if (m_heartbeats.sendsToEachPeer()) {
+    m_lastSlotReportAt = now;
+    m_reportedPlaces = sparePlaces(now);
   }
-  sendBeats(due, now);
+  sendHeartbeats(due, now);
 }
 
 void
-EntryCore::sendBeats(const std::vector<VmId>& vms, TimePoint now)
+EntryCore::sendHeartbeats(const std::vector<VmId>& vms, TimePoint now)
 {
-  std::map<Duration, std::vector<VmId>> byPromise;
+  std::map<Duration, std::vector<VmId>> byNextWithin;
   for (const VmId& vm : vms) {
-    const bool isClose = m_close.count(vm) > 0;
-    byPromise[m_heartbeats.promise(vm, isClose, now)].push_back(vm);
+    const bool isClose = m_closePeers.count(vm) > 0;
+    byNextWithin[m_heartbeats.promise(vm, isClose, now)].push_back(vm);
   }
-  if (byPromise.empty())
+  if (byNextWithin.empty())
     return;
-  PeerBeat beat = makeBeat(now);
-  for (const auto& [promise, receivers] : byPromise) {
+  PeerBeat beat = makeHeartbeat(now);
+  for (const auto& [promise, receivers] : byNextWithin) {
     beat.nextWithin = promise;
     m_links.sendToEach(receivers, beat);
   }
@@ -502,52 +506,52 @@
 
 /// Peers that share no jobs with this daemon any more need fewer heartbeats.
 void
-EntryCore::updateClose()
+EntryCore::updateClosePeers()
 {
   m_jobHolders = m_gateway.holders();
   std::set<VmId> close = m_jobHolders;
   close.merge(m_scheduler.submitters());
   close.erase(m_settings.vm);
-  for (const VmId& vm : m_close) {
+  for (const VmId& vm : m_closePeers) {
     if (close.count(vm) == 0)
       m_links.setClose(vm, false);
   }
   for (const VmId& vm : close)
     m_links.setClose(vm, true);
-  m_close = std::move(close);
+  m_closePeers = std::move(close);
 }
 
 void
-EntryCore::addClose(const VmId& vm)
+EntryCore::addClosePeer(const VmId& vm)
 {
-  m_close.insert(vm);
+  m_closePeers.insert(vm);
   m_links.setClose(vm, true);
 }
 
 /// Sends a heartbeat to the other holders early when the number of free slots
 /// has changed by a quarter or more.
 void
-EntryCore::beatHolders(TimePoint now)
+EntryCore::reportFreeSlots(TimePoint now)
 {
-  const Duration since = now - m_lastHolderBeatAt;
-  if (m_shards.held().empty() || since < placesInterval)
+  const Duration since = now - m_lastSlotReportAt;
+  if (m_shards.held().empty() || since < slotReportInterval)
     return;
   const std::set<VmId> holders = m_shards.holders();
-  if (since < placesIntervalEach * holders.size())
+  if (since < slotReportIntervalPerHolder * holders.size())
     return;
   const unsigned places = sparePlaces(now);
   const unsigned change =
-    std::max(places, m_toldPlaces) - std::min(places, m_toldPlaces);
-  if (change * 4 < std::max(places, m_toldPlaces))
+    std::max(places, m_reportedPlaces) - std::min(places, m_reportedPlaces);
+  if (change * 4 < std::max(places, m_reportedPlaces))
     return;
-  m_lastHolderBeatAt = now;
-  m_toldPlaces = places;
+  m_lastSlotReportAt = now;
+  m_reportedPlaces = places;
   std::vector<VmId> others;
   for (const VmId& vm : holders) {
     if (vm != m_settings.vm)
       others.push_back(vm);
   }
-  sendBeats(others, now);
+  sendHeartbeats(others, now);
 }
 
 unsigned
@@ -562,13 +566,13 @@
 /// Checks for overload: ticks that come late for some time mean that this
 /// process gets too little processor time.
 void
-EntryCore::noticeStrain(TimePoint now)
+EntryCore::updateOverload(TimePoint now)
 {
-  if (m_strain.ticked(now))
+  if (m_overload.ticked(now))
     logDecision(LogLevel::Info,
-                m_strain.isStrained() ? "strained" : "strain-over",
-                { { "latenessMs", toMilliseconds(m_strain.lateness()) } });
-  m_shards.setStrained(m_strain.isStrained());
+                m_overload.isStrained() ? "strained" : "strain-over",
+                { { "latenessMs", toMilliseconds(m_overload.lateness()) } });
+  m_shards.setStrained(m_overload.isStrained());
 }
 
 /// Asks the workers of zones without a reachable daemon whether any daemon
@@ -579,19 +583,19 @@
   std::set<ShardId> asked;
   for (const auto& [shard, token] : m_shards.orphans(now)) {
     asked.insert(shard);
-    m_vacancy.probe(shard, token, m_scheduler.workersOf(shard), now);
-    if (!m_vacancy.isVacant(shard))
+    m_vacancyProbe.probe(shard, token, m_scheduler.workersOf(shard), now);
+    if (!m_vacancyProbe.isVacant(shard))
       continue;
     logDecision(LogLevel::Info,
                 "shard-vacant",
                 { { "shard", shard.toString() }, { "lastToken", token } });
     m_shards.setVacant(shard, now);
   }
-  m_vacancy.keepOnly(asked);
+  m_vacancyProbe.keepOnly(asked);
 }
 
 PeerBeat
-EntryCore::makeBeat(TimePoint now) const
+EntryCore::makeHeartbeat(TimePoint now) const
 {
   PeerBeat beat;
   beat.isLeaving = isLeaving();
@@ -600,7 +604,7 @@
     beat.shards[shard] = { token,
                            m_scheduler.sparePlaces(shard, now),
                            m_scheduler.digest(shard) };
-  beat.isStrained = m_strain.isStrained();
+  beat.isStrained = m_overload.isStrained();
   beat.isNew = m_shards.isNew(now);
   beat.slowness = m_settings.slowness;
   beat.carried = carriedWorkers(m_settings.limits);
@@ -616,7 +620,7 @@
 }
 
 void
-EntryCore::applyDecisions(TimePoint now)
+EntryCore::applyShardDecisions(TimePoint now)
 {
   for (const ShardId& shard : std::exchange(m_fenced, {}))
     m_shards.fenced(shard, now);
@@ -645,16 +649,16 @@
 }
 
 void
-EntryCore::checkLeaving(TimePoint now)
+EntryCore::checkShutdown(TimePoint now)
 {
-  if (!m_leaveAt || !m_left)
+  if (!m_shutdownStartedAt || !m_onShutdownDone)
     return;
-  const Duration since = now - *m_leaveAt;
+  const Duration since = now - *m_shutdownStartedAt;
   const bool isIdle = m_gateway.waiting() == 0 && m_scheduler.jobCount() == 0;
-  const bool isDone = isIdle && since >= m_settings.unreadyTime;
+  const bool isDone = isIdle && since >= m_settings.balancerDelay;
   if (!isDone && since < m_grace - exitMargin)
     return;
-  std::exchange(m_left, nullptr)();
+  std::exchange(m_onShutdownDone, nullptr)();
 }
 
 void
@@ -667,7 +671,7 @@
   else if (const auto* submit = std::get_if<PeerSubmit>(&message))
     submitted(vm, *submit, now);
   else if (const auto* ack = std::get_if<PeerBeatAck>(&message))
-    beatAcknowledged(vm, *ack, now);
+    heartbeatAcknowledged(vm, *ack, now);
   else if (const auto* cancel = std::get_if<PeerCancel>(&message))
     m_scheduler.cancel(cancel->key, now);
   else if (const auto* ended = std::get_if<PeerJobEnd>(&message))
@@ -682,7 +686,7 @@
     m_links.send(
       vm, PeerRecalled{ recall->job, m_gateway.recall(vm, *recall, now) });
   else if (const auto* recalled = std::get_if<PeerRecalled>(&message))
-    recalledReceived(vm, *recalled, now);
+    stopReplyReceived(vm, *recalled, now);
   else if (const auto* news = std::get_if<PeerWorkerNews>(&message))
     m_ports.workerNews(*news);
   else
@@ -692,17 +696,17 @@
 void
 EntryCore::beatReceived(const VmId& vm, const PeerBeat& beat, TimePoint now)
 {
-  m_reports.received(vm, beat, now);
-  m_contact.beatReceived(vm, beat.sentAt, now);
+  m_peerReports.received(vm, beat, now);
+  m_peerContact.beatReceived(vm, beat.sentAt, now);
   m_knownJobs.told(vm, beat.longJobs, now);
   m_gateway.told(vm, beat.longJobs, now);
   if (beat.asksAck)
-    m_links.send(vm, m_contact.acknowledgement(vm));
+    m_links.send(vm, m_peerContact.acknowledgement(vm));
   adoptEvacuations(beat.evacuations, now);
   m_tokens.seen(beat.highestToken);
   MemberView view;
   view.id = vm;
-  view.zone = m_reports.zone(vm);
+  view.zone = m_peerReports.zone(vm);
   view.isLeaving = beat.isLeaving;
   view.isReady = beat.isReady;
   view.isStrained = beat.isStrained;
@@ -712,8 +716,8 @@
   for (const auto& [shard, held] : beat.shards)
     view.shards[shard] = held.token;
   if (m_shards.memberSeen(view, now))
-    boundShards(now);
-  adoptDivisions(beat, now);
+    updateShardSizes(now);
+  adoptShardDivisions(beat, now);
   m_scheduler.forgetPeer(vm);
   if (!beat.isLeaving) {
     for (const auto& [shard, held] : beat.shards)
@@ -723,7 +727,7 @@
 }
 
 void
-EntryCore::tellUnresolved(const std::vector<VmId>& vms,
+EntryCore::sendUnresolved(const std::vector<VmId>& vms,
                           const std::vector<UnresolvedStart>& starts,
                           TimePoint now)
 {
@@ -735,11 +739,11 @@
 }
 
 void
-EntryCore::tellNewUnresolved(TimePoint now)
+EntryCore::sendNewUnresolved(TimePoint now)
 {
   const auto starts = std::exchange(m_newUnresolved, {});
   const std::set<VmId> up = m_links.up();
-  tellUnresolved({ up.begin(), up.end() }, starts, now);
+  sendUnresolved({ up.begin(), up.end() }, starts, now);
 }
 
 void
@@ -754,10 +758,10 @@
 void
 EntryCore::submitted(const VmId& vm, const PeerSubmit& submit, TimePoint now)
 {
-  addClose(vm);
-  m_contact.acknowledged(vm, submit.ack, now);
-  if (m_contact.takeAsking(vm, now))
-    sendBeats({ vm }, now);
+  addClosePeer(vm);
+  m_peerContact.acknowledged(vm, submit.ack, now);
+  if (m_peerContact.takeOutOfTurnRequest(vm, now))
+    sendHeartbeats({ vm }, now);
   JobRequest request = submit.request;
   if (request.exclusiveFor != Duration::max()) {
     const auto sentAfter =
@@ -776,10 +780,10 @@
 /// reports of theirs, and they may have missed its own. If all daemons have
 /// just started, as after a loss of the whole group, there are no such jobs.
 bool
-EntryCore::isInformed(TimePoint now) const
+EntryCore::havePeersReported(TimePoint now) const
 {
   const std::size_t known = m_links.knownCount();
-  return now >= m_informedAt || m_shards.haveAllJustStarted() ||
+  return now >= m_peersReportedAt || m_shards.haveAllJustStarted() ||
          (known > 0 && m_shards.members().size() >= known);
 }
 
@@ -791,18 +795,19 @@
 {
   const std::size_t reachable = m_links.up().size() + 1;
   const std::size_t known = m_links.knownCount() + 1;
-  const bool hasFoundFew =
-    now < m_foundAllAt && known > reachable && known - reachable >= reachable;
-  return hasFoundFew || m_losses.isCutOff(reachable, now);
+  const bool hasDiscoveredFew = now < m_discoveryEndsAt && known > reachable &&
+                                known - reachable >= reachable;
+  return hasDiscoveredFew || m_losses.isCutOff(reachable, now);
 }
 
 std::optional<KnownJobs::Place>
 EntryCore::underWayAt(const JobId& job) const
 {
   const TimePoint now = m_clocks.steady();
-  if (!isInformed(now))
-    return KnownJobs::Place{ std::nullopt,
-                             std::min(m_informedAt, now + informRetry) };
+  if (!havePeersReported(now))
+    return KnownJobs::Place{
+      std::nullopt, std::min(m_peersReportedAt, now + peerReportPollInterval)
+    };
   return m_knownJobs.find(job, now);
 }
 
@@ -810,37 +815,37 @@
 /// group that is too large for a heartbeat to each peer in each interval, only
 /// the peers that share jobs with this daemon count.
 TimePoint
-EntryCore::allToldUntil() const
+EntryCore::allReportedUntil() const
 {
-  TimePoint told = TimePoint::max();
+  TimePoint reportedUntil = TimePoint::max();
   const TimePoint now = m_clocks.steady();
-  if (!isInformed(now) || isCutOff(now))
+  if (!havePeersReported(now) || isCutOff(now))
     return TimePoint();
   for (const VmId& vm : m_links.up()) {
-    if (m_heartbeats.isEachDue() || m_close.count(vm) > 0)
-      told = std::min(told, m_contact.toldUntil(vm));
+    if (m_heartbeats.sendsToEachPeer() || m_closePeers.count(vm) > 0)
+      reportedUntil = std::min(reportedUntil, m_peerContact.toldUntil(vm));
   }
-  return told;
+  return reportedUntil;
 }
 
 /// Acknowledges the heartbeats of holders that have this daemon's jobs, which
 /// shows them that it is alive.
 void
-EntryCore::acknowledgeBeats(TimePoint now)
+EntryCore::acknowledgeHeartbeats(TimePoint now)
 {
   for (const VmId& vm : m_jobHolders) {
-    if (const auto ack = m_contact.takeDue(vm, now))
+    if (const auto ack = m_peerContact.takeDue(vm, now))
       m_links.send(vm, *ack);
   }
 }
 
 void
-EntryCore::beatAcknowledged(const VmId& vm,
-                            const PeerBeatAck& ack,
-                            TimePoint now)
+EntryCore::heartbeatAcknowledged(const VmId& vm,
+                                 const PeerBeatAck& ack,
+                                 TimePoint now)
 {
-  const Duration before = now - m_contact.lastContact(vm);
-  m_contact.acknowledged(vm, ack, now);
+  const Duration before = now - m_peerContact.lastContact(vm);
+  m_peerContact.acknowledged(vm, ack, now);
   if (before > m_settings.scheduler.startContactLimit)
     m_scheduler.contactRenewed(now);
 }
@@ -848,7 +853,7 @@
 /// Divides zones anew when the number of workers that their daemons can hold
 /// has changed.
 void
-EntryCore::boundShards(TimePoint now)
+EntryCore::updateShardSizes(TimePoint now)
 {
   if (!m_shardSizes.update(m_shards.weakestCarried(), now))
     return;
@@ -858,17 +863,17 @@
              { { "zone", zone }, { "workers", workers } });
   m_scheduler.setBounds(m_shardSizes.bounds());
   if (m_hasWorkers)
-    listWorkers(now);
+    updateWorkerList(now);
 }
 
 void
-EntryCore::adoptDivisions(const PeerBeat& beat, TimePoint now)
+EntryCore::adoptShardDivisions(const PeerBeat& beat, TimePoint now)
 {
-  bool isDividedAnew = false;
+  bool isDivisionChanged = false;
   for (const auto& [shard, held] : beat.shards)
-    isDividedAnew = m_scheduler.adoptDivision(shard) || isDividedAnew;
-  if (isDividedAnew)
-    divisionRead(now);
+    isDivisionChanged = m_scheduler.adoptDivision(shard) || isDivisionChanged;
+  if (isDivisionChanged)
+    applyShardDivision(now);
 }
 
 void
@@ -876,7 +881,7 @@
 {
   const auto lastRead = m_lastReadAt.extract(vm);
   const TimePoint lastReadAt = lastRead ? lastRead.mapped() : now;
-  const IdList handedTo = m_gateway.jobsAt(vm);
+  const IdList handedTo = m_gateway.jobsSubmittedTo(vm);
   const IdList heldFor = m_scheduler.jobsOf(vm);
   logDecision(LogLevel::Info,
               "peer-lost",
@@ -894,11 +899,11 @@
 {
   const TimePoint now = m_clocks.steady();
   logPeerLost(vm, loss, now);
-  m_close.erase(vm);
+  m_closePeers.erase(vm);
   m_jobHolders.erase(vm);
-  m_contact.lost(vm);
+  m_peerContact.lost(vm);
   m_knownJobs.lost(vm, now);
-  noteLoss(vm, loss, now);
+  recordLoss(vm, loss, now);
   m_shards.memberGone(vm, now);
   m_configuration.lost(vm);
   m_scheduler.daemonLost(vm, loss == PeerLoss::Silent, now);
@@ -906,9 +911,9 @@
 }
 
 void
-EntryCore::recalledReceived(const VmId& vm,
-                            const PeerRecalled& recalled,
-                            TimePoint now)
+EntryCore::stopReplyReceived(const VmId& vm,
+                             const PeerRecalled& recalled,
+                             TimePoint now)
 {
   if (recalled.overIn == Duration::zero())
     m_knownJobs.over(vm, recalled.job);
@@ -916,12 +921,12 @@
 }
 
 void
-EntryCore::noteLoss(const VmId& vm, PeerLoss loss, TimePoint now)
+EntryCore::recordLoss(const VmId& vm, PeerLoss loss, TimePoint now)
 {
   if (loss == PeerLoss::Silent)
     m_losses.lost(vm, now);
   if (isCutOff(now))
-    m_gateway.tellAnew(now + cutOffLimit);
+    m_gateway.tellAnew(now + partitionedJobLimit);
 }
 
 void
@@ -952,13 +957,13 @@
 EntryCore::submitTo(const VmId& vm, const JobRequest& request)
 {
   if (vm != m_settings.vm) {
-    addClose(vm);
+    addClosePeer(vm);
     m_jobHolders.insert(vm);
     return m_links.send(
       vm,
       PeerSubmit{ request,
-                  m_contact.acknowledgement(vm),
-                  m_contact.acknowledgementAge(vm, m_clocks.steady()) });
+                  m_peerContact.acknowledgement(vm),
+                  m_peerContact.acknowledgementAge(vm, m_clocks.steady()) });
   }
   m_scheduler.submit(request, m_clocks.steady());
   return true;
@@ -974,7 +979,7 @@
 }
 
 void
-EntryCore::keepAt(const VmId& vm, const JobKey& key)
+EntryCore::confirmReportedAt(const VmId& vm, const JobKey& key)
 {
   if (vm == m_settings.vm)
     m_scheduler.keep(key, m_clocks.steady());
--- a/src/libentry/entrycore.h
+++ b/src/libentry/entrycore.h
@@ -47,30 +47,30 @@
     /// it can hold.
     MachineLimits limits;
     /// A daemon that is short of processor time releases its shards to others.
-    StrainMeter::Settings strain;
+    StrainMeter::Settings overload;
     Scheduler::Settings scheduler;
     ShardTable::Settings shards;
     Gateway::Settings gateway;
-    VacancyProbe::Settings vacancy;
+    VacancyProbe::Settings vacancyProbe;
     HeartbeatPlan::Settings heartbeats;
     /// How often a holder sends a heartbeat to the platform.
-    Duration platformBeatInterval = std::chrono::seconds(1);
+    Duration platformHeartbeatInterval = std::chrono::seconds(1);
     /// A longer gap between two clock readings means that this process was
     /// stopped, and that its peers may consider it lost.
     Duration pauseLimit = std::chrono::milliseconds(250);
     /// How long after a pause the pending messages are read before any task is
     /// started.
-    Duration wakeTime = std::chrono::milliseconds(60);
+    Duration resumeDelay = std::chrono::milliseconds(60);
     /// How long after the start callers' jobs wait for the peers to report
     /// which jobs are in progress there.
-    Duration informTime = std::chrono::milliseconds(600);
+    Duration peerReportWait = std::chrono::milliseconds(600);
     /// For this long after the start, a daemon that reaches fewer than half of
     /// the daemons that it knows is considered partitioned from them.
-    Duration findTime = std::chrono::seconds(30);
+    Duration discoveryTime = std::chrono::seconds(30);
     /// How long the platform's load balancer may take to notice that this
     /// daemon isn't ready: it checks every second and acts on two failed
     /// checks.
-    Duration unreadyTime = std::chrono::milliseconds(2400);
+    Duration balancerDelay = std::chrono::milliseconds(2400);
   };
 
   /// Orders to workers and messages to the platform. No function may be empty,
@@ -166,7 +166,7 @@
   bool isReady() const;
 
   Gateway::Ticket submit(JobSubmission submission, Gateway::Done done);
-  void callerGone(Gateway::Ticket ticket);
+  void callerGone(Gateway::Ticket callerId);
 
   /// Connections to peers being made and lost, and the messages that peers
   /// send.
@@ -182,7 +182,7 @@
   void leave(std::function<void()> ended);
   /// Sets how long shutting down may take.
   void setGrace(Duration grace) { m_grace = grace; }
-  bool isLeaving() const { return m_leaveAt.has_value(); }
+  bool isLeaving() const { return m_shutdownStartedAt.has_value(); }
   /// Whether requests of callers are still accepted. During the shutdown they
   /// are, until the platform's load balancer has had time to notice that this
   /// daemon isn't ready.
@@ -226,45 +226,47 @@
 
   ConfigurationSync::Hooks configurationHooks();
   void configurationChanged();
-  void pauseNoticed(TimePoint now, Duration gap);
+  void handlePause(TimePoint now, Duration gap);
   void beat(TimePoint now);
-  void beatInTurn(TimePoint now);
-  void beatHolders(TimePoint now);
-  void sendBeats(const std::vector<VmId>& vms, TimePoint now);
-  PeerBeat makeBeat(TimePoint now) const;
-  void updateClose();
-  void addClose(const VmId& vm);
-  void recalledReceived(const VmId& vm,
-                        const PeerRecalled& recalled,
-                        TimePoint now);
-  void noteLoss(const VmId& vm, PeerLoss loss, TimePoint now);
+  void sendScheduledHeartbeats(TimePoint now);
+  void reportFreeSlots(TimePoint now);
+  void sendHeartbeats(const std::vector<VmId>& vms, TimePoint now);
+  PeerBeat makeHeartbeat(TimePoint now) const;
+  void updateClosePeers();
+  void addClosePeer(const VmId& vm);
+  void stopReplyReceived(const VmId& vm,
+                         const PeerRecalled& recalled,
+                         TimePoint now);
+  void recordLoss(const VmId& vm, PeerLoss loss, TimePoint now);
   void logPeerLost(const VmId& vm, PeerLoss loss, TimePoint now);
-  void applyDecisions(TimePoint now);
-  void checkLeaving(TimePoint now);
+  void applyShardDecisions(TimePoint now);
+  void checkShutdown(TimePoint now);
   void submitted(const VmId& vm, const PeerSubmit& submit, TimePoint now);
-  void acknowledgeBeats(TimePoint now);
-  void beatAcknowledged(const VmId& vm, const PeerBeatAck& ack, TimePoint now);
+  void acknowledgeHeartbeats(TimePoint now);
+  void heartbeatAcknowledged(const VmId& vm,
+                             const PeerBeatAck& ack,
+                             TimePoint now);
   void beatReceived(const VmId& vm, const PeerBeat& beat, TimePoint now);
-  void tellUnresolved(const std::vector<VmId>& vms,
+  void sendUnresolved(const std::vector<VmId>& vms,
                       const std::vector<UnresolvedStart>& starts,
                       TimePoint now);
-  void tellNewUnresolved(TimePoint now);
+  void sendNewUnresolved(TimePoint now);
   void unresolvedReceived(const PeerUnresolvedStarts& message, TimePoint now);
-  bool isInformed(TimePoint now) const;
+  bool havePeersReported(TimePoint now) const;
   bool isCutOff(TimePoint now) const;
-  TimePoint allToldUntil() const;
+  TimePoint allReportedUntil() const;
   std::optional<KnownJobs::Place> underWayAt(const JobId& job) const;
-  void keepAt(const VmId& vm, const JobKey& key);
+  void confirmReportedAt(const VmId& vm, const JobKey& key);
   void jobEnded(const JobKey& key, const JobEnd& end);
   void tasksReturned(const JobKey& key, const TasksReturned& returned);
   unsigned sparePlaces(TimePoint now) const;
-  void noticeStrain(TimePoint now);
+  void updateOverload(TimePoint now);
   void probeOrphans(TimePoint now);
-  void listWorkers(TimePoint now);
-  void divisionRead(TimePoint now);
-  void adoptDivisions(const PeerBeat& beat, TimePoint now);
+  void updateWorkerList(TimePoint now);
+  void applyShardDivision(TimePoint now);
+  void adoptShardDivisions(const PeerBeat& beat, TimePoint now);
   void adoptEvacuations(const Evacuations& evacuations, TimePoint now);
-  void boundShards(TimePoint now);
+  void updateShardSizes(TimePoint now);
   bool submitTo(const VmId& vm, const JobRequest& request);
   void cancelAt(const VmId& vm, const JobKey& key);
 
@@ -280,25 +282,25 @@
   bool m_hasWorkers = false;
   WorkerList m_workers;
   Evacuations m_evacuations;
-  PeerReports m_reports;
-  PeerContact m_contact;
+  PeerReports m_peerReports;
+  PeerContact m_peerContact;
   KnownJobs m_knownJobs;
   MemberLosses m_losses;
   /// After the start or a pause, the time by which all peers have reported
   /// their jobs to this daemon.
-  TimePoint m_informedAt;
+  TimePoint m_peersReportedAt;
   /// After the start, the time by which this daemon has found all daemons that
   /// it can reach.
-  TimePoint m_foundAllAt;
-  HolderLookup m_holders;
+  TimePoint m_discoveryEndsAt;
+  HolderLookup m_holderLookup;
   TokenSource m_tokens;
-  VacancyProbe m_vacancy;
-  DirectoryReaders m_readers;
+  VacancyProbe m_vacancyProbe;
+  DirectoryReaders m_directoryReaders;
   bool m_isDirectoryReader = true;
-  StrainMeter m_strain;
+  StrainMeter m_overload;
   HeartbeatPlan m_heartbeats;
   /// Peers that have jobs of this daemon, or whose jobs this daemon has.
-  std::set<VmId> m_close;
+  std::set<VmId> m_closePeers;
   /// The close peers that have jobs of this daemon.
   std::set<VmId> m_jobHolders;
   std::set<ShardId> m_fenced;
@@ -306,15 +308,15 @@
   std::vector<UnresolvedStart> m_newUnresolved;
   /// When a message of each peer was last read.
   std::map<VmId, TimePoint> m_lastReadAt;
-  TimePoint m_lastBeatAt{};
-  TimePoint m_lastHolderBeatAt{};
-  unsigned m_toldPlaces = 0;
-  TimePoint m_lastPlatformBeatAt{};
+  TimePoint m_lastHeartbeatAt{};
+  TimePoint m_lastSlotReportAt{};
+  unsigned m_reportedPlaces = 0;
+  TimePoint m_lastPlatformHeartbeatAt{};
   std::chrono::nanoseconds m_lastBootTime{};
   std::optional<TimePoint> m_resumeAt;
   Duration m_grace;
-  std::optional<TimePoint> m_leaveAt;
-  std::function<void()> m_left;
+  std::optional<TimePoint> m_shutdownStartedAt;
+  std::function<void()> m_onShutdownDone;
 };
 
 } // namespace cowslippin
--- a/src/libentry/entrydaemon.cpp
+++ b/src/libentry/entrydaemon.cpp
@@ -169,7 +169,7 @@
 void
 EntryDaemon::tickLater()
 {
-  m_timer.expires_after(m_settings.core.strain.tickInterval);
+  m_timer.expires_after(m_settings.core.overload.tickInterval);
   m_timer.async_wait([this](boost::system::error_code error) {
     if (error)
       return;
--- a/src/libentry/gateway.cpp
+++ b/src/libentry/gateway.cpp
@@ -17,32 +17,32 @@
 Gateway::Ticket
 Gateway::submit(JobSubmission submission, Done done, TimePoint now)
 {
-  const Ticket ticket = ++m_lastTicket;
-  const auto known = m_byId.find(submission.job);
-  if (known != m_byId.end()) {
+  const Ticket callerId = ++m_lastCallerId;
+  const auto known = m_numberByJob.find(submission.job);
+  if (known != m_numberByJob.end()) {
     Entry& entry = m_jobs.at(known->second);
-    entry.callers[ticket] = std::move(done);
-    m_tickets[ticket] = known->second;
+    entry.callers[callerId] = std::move(done);
+    m_jobByCaller[callerId] = known->second;
     logCallers("caller-joined", entry, now);
-    return ticket;
+    return callerId;
   }
   const std::uint64_t number = ++m_lastJob;
   Entry& entry = m_jobs[number];
   entry.number = number;
   entry.arrivedAt = now;
   entry.expiresAt = now + submission.timeLeft;
-  entry.longFrom =
+  entry.longRunningFrom =
     std::max(now, now - submission.unreadFor + m_settings.tellAfter);
-  entry.callers[ticket] = std::move(done);
+  entry.callers[callerId] = std::move(done);
   entry.submission = std::move(submission);
-  entry.exclusiveUntil = exclusiveFromArrival(entry);
-  m_byId[entry.submission.job] = number;
-  m_tickets[ticket] = number;
+  entry.exclusiveUntil = exclusiveUntilIfUnreported(entry);
+  m_numberByJob[entry.submission.job] = number;
+  m_jobByCaller[callerId] = number;
   Part& part = addPart(entry);
   for (TaskIndex task = 0; task < entry.submission.taskCount; ++task)
     part.tasks.insert(task);
   begin(entry, now);
-  return ticket;
+  return callerId;
 }
 
 /// Submits a job unless runs of an earlier submission may go on. In that case,
@@ -51,14 +51,14 @@
 Gateway::begin(Entry& entry, TimePoint now)
 {
   const JobId job = entry.submission.job;
-  const auto givenUp = m_givenUp.find(job);
-  if (givenUp != m_givenUp.end() && now < givenUp->second) {
-    hold(entry, givenUp->second, now);
+  const auto abandoned = m_abandoned.find(job);
+  if (abandoned != m_abandoned.end() && now < abandoned->second) {
+    hold(entry, abandoned->second, now);
     return;
   }
   const auto place = m_hooks.underWayAt(job);
   if (!place) {
-    placeAll(entry, now);
+    placeUnassignedParts(entry, now);
     return;
   }
   if (!place->daemon) {
@@ -66,9 +66,9 @@
     return;
   }
   entry.heldUntil.reset();
-  entry.recalledFrom = place->daemon;
-  entry.recalledAt = now;
-  recallFrom(*place->daemon, entry, now);
+  entry.stopRequestedFrom = place->daemon;
+  entry.stopRequestedAt = now;
+  requestStop(*place->daemon, entry, now);
 }
 
 /// Holds a job until all runs of an earlier submission have ended. Ends the job
@@ -82,7 +82,7 @@
                 { { "job", entry.submission.job },
                   { "forMs", toMilliseconds(until - now) },
                   { "ageMs", toMilliseconds(now - entry.arrivedAt) } });
-  entry.recalledFrom.reset();
+  entry.stopRequestedFrom.reset();
   entry.heldUntil = until;
   if (until + entry.submission.needs.estimate >= entry.expiresAt)
     finish(entry,
@@ -93,11 +93,11 @@
 }
 
 void
-Gateway::placeAll(Entry& entry, TimePoint now)
+Gateway::placeUnassignedParts(Entry& entry, TimePoint now)
 {
-  entry.recalledFrom.reset();
+  entry.stopRequestedFrom.reset();
   entry.heldUntil.reset();
-  if (!entry.isTold && now > entry.exclusiveUntil - exclusiveStartMargin)
+  if (!entry.isReported && now > entry.exclusiveUntil - exclusiveStartMargin)
     return;
   const std::uint64_t number = entry.number;
   std::vector<std::uint64_t> parts;
@@ -112,14 +112,14 @@
 }
 
 void
-Gateway::callerGone(Ticket ticket, TimePoint now)
+Gateway::callerGone(Ticket callerId, TimePoint now)
 {
-  const auto number = m_tickets.find(ticket);
-  if (number == m_tickets.end())
+  const auto number = m_jobByCaller.find(callerId);
+  if (number == m_jobByCaller.end())
     return;
   Entry& entry = m_jobs.at(number->second);
-  m_tickets.erase(number);
-  entry.callers.erase(ticket);
+  m_jobByCaller.erase(number);
+  entry.callers.erase(callerId);
   if (!entry.callers.empty())
     return;
   logCallers("caller-gone", entry, now);
@@ -156,7 +156,7 @@
       return;
     case JobOutcome::Completed:
     case JobOutcome::Moved:
-      partMoved(*entry, *part, end, now);
+      partGivenUp(*entry, *part, end, now);
       return;
     case JobOutcome::NotHolder:
       // The next tick looks up the holder again; this daemon may know the right
@@ -186,7 +186,7 @@
   entry->isSplit = true;
   other.isSuggested = !returned.holder.isEmpty();
   if (!other.isSuggested ||
-      !handTo(*entry, other, returned.holder, returned.shard, now))
+      !submitPart(*entry, other, returned.holder, returned.shard, now))
     place(*entry, other, now);
 }
 
@@ -195,12 +195,12 @@
 {
   std::vector<Entry*> recalled;
   for (auto& [number, entry] : m_jobs) {
-    if (entry.recalledFrom == vm)
+    if (entry.stopRequestedFrom == vm)
       recalled.push_back(&entry);
     for (auto& [id, part] : entry.parts) {
       if (part.holder != vm)
         continue;
-      markLost(part, now);
+      markOrphaned(part, now);
     }
   }
   for (Entry* entry : recalled)
@@ -208,25 +208,25 @@
 }
 
 void
-Gateway::markLost(Part& part, TimePoint now) const
+Gateway::markOrphaned(Part& part, TimePoint now) const
 {
-  const bool mayBeLeftBefore =
-    part.lostAt && now - *part.lostAt < m_settings.lostRunLimit;
+  const bool hasEarlierOrphans =
+    part.orphanedAt && now - *part.orphanedAt < m_settings.lostRunLimit;
   part.underWay.reset();
-  part.lostOn.reset();
+  part.orphanWorkers.reset();
   const auto workers = m_hooks.workers(*part.holder, part.shard);
-  if (workers && !mayBeLeftBefore)
-    part.lostOn = ShardWorkers{ part.shard, *workers };
-  part.lostAt = now;
+  if (workers && !hasEarlierOrphans)
+    part.orphanWorkers = ShardWorkers{ part.shard, *workers };
+  part.orphanedAt = now;
   part.holder.reset();
 }
 
 void
 Gateway::tick(TimePoint now)
 {
-  for (auto job = m_givenUp.begin(); job != m_givenUp.end();)
-    job = now >= job->second ? m_givenUp.erase(job) : std::next(job);
-  tellOthers(now);
+  for (auto job = m_abandoned.begin(); job != m_abandoned.end();)
+    job = now >= job->second ? m_abandoned.erase(job) : std::next(job);
+  markReportedJobs(now);
   std::vector<std::uint64_t> numbers;
   for (const auto& [number, entry] : m_jobs)
     numbers.push_back(number);
@@ -237,35 +237,36 @@
       finish(entry,
              { JobAnswer::Kind::Unknown, Duration::zero(), "out of time" },
              now);
-    } else if (!entry.isTold && now >= untoldEnd(entry)) {
-      endUntold(entry, now);
-    } else if (mayBeginNow(entry, now)) {
+    } else if (!entry.isReported && now >= unreportedDeadline(entry)) {
+      endUnreported(entry, now);
+    } else if (isRetryDue(entry, now)) {
       begin(entry, now);
-    } else if (!entry.heldUntil && !entry.recalledFrom) {
-      placeAll(entry, now);
+    } else if (!entry.heldUntil && !entry.stopRequestedFrom) {
+      placeUnassignedParts(entry, now);
     }
   }
 }
 
 /// Marks jobs as reported once all peers have received the report.
 void
-Gateway::tellOthers(TimePoint now)
+Gateway::markReportedJobs(TimePoint now)
 {
   if (!hasUntoldJobs(now))
     return;
   const TimePoint toldUntil = m_hooks.toldUntil();
   for (auto& [number, entry] : m_jobs) {
-    const bool isLate = mayRun(entry) && now >= entry.exclusiveUntil;
-    if (!entry.isTold && !isLate && now >= entry.longFrom &&
-        toldUntil >= entry.longFrom)
-      setTold(entry);
+    const bool isExclusivityOver =
+      mayHaveRuns(entry) && now >= entry.exclusiveUntil;
+    if (!entry.isReported && !isExclusivityOver &&
+        now >= entry.longRunningFrom && toldUntil >= entry.longRunningFrom)
+      markReported(entry);
   }
 }
 
 void
-Gateway::setTold(Entry& entry)
+Gateway::markReported(Entry& entry)
 {
-  entry.isTold = true;
+  entry.isReported = true;
   for (const auto& [id, part] : entry.parts) {
     if (part.holder)
       m_hooks.keep(*part.holder, part.key);
@@ -277,10 +278,10 @@
 {
   std::vector<LongJob> jobs;
   for (const auto& [number, entry] : m_jobs) {
-    if (now >= entry.longFrom)
+    if (now >= entry.longRunningFrom)
       jobs.push_back({ entry.submission.job, ageOf(entry, now) });
   }
-  for (const auto& [job, overAt] : m_givenUp) {
+  for (const auto& [job, overAt] : m_abandoned) {
     if (now < overAt)
       jobs.push_back({ job, Duration::zero() });
   }
@@ -291,7 +292,7 @@
 Gateway::hasUntoldJobs(TimePoint now) const
 {
   return std::any_of(m_jobs.begin(), m_jobs.end(), [now](const auto& item) {
-    return !item.second.isTold && now >= item.second.longFrom;
+    return !item.second.isReported && now >= item.second.longRunningFrom;
   });
 }
 
@@ -299,11 +300,11 @@
 Gateway::tellAnew(TimePoint exclusiveUntil)
 {
   for (auto& [number, entry] : m_jobs) {
-    if (entry.isTold)
+    if (entry.isReported)
       entry.exclusiveUntil = exclusiveUntil;
-    entry.isTold = false;
+    entry.isReported = false;
     entry.exclusiveUntil =
-      std::max(exclusiveFromArrival(entry),
+      std::max(exclusiveUntilIfUnreported(entry),
                std::min(entry.exclusiveUntil, exclusiveUntil));
   }
 }
@@ -312,17 +313,17 @@
 Gateway::told(const VmId& from, const std::vector<LongJob>& jobs, TimePoint now)
 {
   for (const LongJob& other : jobs) {
-    const auto known = m_byId.find(other.job);
-    if (known == m_byId.end())
+    const auto known = m_numberByJob.find(other.job);
+    if (known == m_numberByJob.end())
       continue;
     const Entry& entry = m_jobs.at(known->second);
-    if (!entry.recalledFrom && ageOf(entry, now) < other.age)
-      recallFrom(from, entry, now);
+    if (!entry.stopRequestedFrom && ageOf(entry, now) < other.age)
+      requestStop(from, entry, now);
   }
 }
 
 void
-Gateway::recallFrom(const VmId& vm, const Entry& entry, TimePoint now)
+Gateway::requestStop(const VmId& vm, const Entry& entry, TimePoint now)
 {
   logDecision(LogLevel::Info,
               "job-submitted-again",
@@ -340,52 +341,54 @@
 /// Whether it is time to look up again where an earlier submission is in
 /// progress.
 bool
-Gateway::mayBeginNow(const Entry& entry, TimePoint now) const
+Gateway::isRetryDue(const Entry& entry, TimePoint now) const
 {
   if (entry.heldUntil)
     return now >= *entry.heldUntil;
-  return entry.recalledFrom && now - entry.recalledAt >= m_settings.recallRetry;
+  return entry.stopRequestedFrom &&
+         now - entry.stopRequestedAt >= m_settings.stopRequestRetryInterval;
 }
 
 /// Until when a job that isn't reported to any peer is exclusive.
 TimePoint
-Gateway::exclusiveFromArrival(const Entry& entry)
+Gateway::exclusiveUntilIfUnreported(const Entry& entry)
 {
   return entry.arrivedAt - entry.submission.unreadFor + wantedRunLimit;
 }
 
 /// Whether any task of a job may be running.
 bool
-Gateway::mayRun(const Entry& entry)
+Gateway::mayHaveRuns(const Entry& entry)
 {
   return entry.isSplit ||
          std::any_of(
            entry.parts.begin(), entry.parts.end(), [](const auto& item) {
-             return item.second.holder || item.second.lostAt;
+             return item.second.holder || item.second.orphanedAt;
            });
 }
 
 /// The time at which a job ends if it hasn't been reported to the peers.
 TimePoint
-Gateway::untoldEnd(const Entry& entry) const
+Gateway::unreportedDeadline(const Entry& entry) const
 {
   const TimePoint end = entry.exclusiveUntil - m_settings.untoldMargin;
-  return mayRun(entry) ? end
-                       : std::max(end, entry.longFrom + m_settings.tellLimit);
+  return mayHaveRuns(entry)
+           ? end
+           : std::max(end, entry.longRunningFrom + m_settings.reportTimeout);
 }
 
 void
-Gateway::endUntold(Entry& entry, TimePoint now)
+Gateway::endUnreported(Entry& entry, TimePoint now)
 {
   const char* reason = "other daemons can't be told where the job is under way";
   logCallers("job-untold", entry, now);
-  if (mayRun(entry))
+  if (mayHaveRuns(entry))
     finish(entry,
            { JobAnswer::Kind::Unknown, m_settings.lostRunLimit, reason },
            now);
   else
     finish(entry,
-           { JobAnswer::Kind::NotRun, m_settings.noHolderRetry, reason },
+           { JobAnswer::Kind::NotRun, m_settings.noHolderRetryAfter, reason },
            now);
 }
 
@@ -393,8 +396,8 @@
 Gateway::recall(const VmId& from, const PeerRecall& recall, TimePoint now)
 {
   Duration overIn = Duration::zero();
-  const auto known = m_byId.find(recall.job);
-  if (known != m_byId.end()) {
+  const auto known = m_numberByJob.find(recall.job);
+  if (known != m_numberByJob.end()) {
     Entry& entry = m_jobs.at(known->second);
     if (ageOf(entry, now) < recall.age)
       return m_settings.lostRunLimit;
@@ -403,7 +406,7 @@
                 { { "job", recall.job },
                   { "by", from },
                   { "ageMs", toMilliseconds(now - entry.arrivedAt) } });
-    if (entry.recalledFrom)
+    if (entry.stopRequestedFrom)
       overIn = m_settings.lostRunLimit;
     else if (entry.heldUntil)
       overIn = *entry.heldUntil - now;
@@ -413,9 +416,10 @@
              "the job was submitted again at another daemon" },
            now);
   }
-  const auto givenUp = m_givenUp.find(recall.job);
-  return givenUp == m_givenUp.end() ? overIn
-                                    : std::max(overIn, givenUp->second - now);
+  const auto abandoned = m_abandoned.find(recall.job);
+  return abandoned == m_abandoned.end()
+           ? overIn
+           : std::max(overIn, abandoned->second - now);
 }
 
 void
@@ -424,11 +428,11 @@
                   Duration overIn,
                   TimePoint now)
 {
-  const auto known = m_byId.find(job);
-  if (known == m_byId.end())
+  const auto known = m_numberByJob.find(job);
+  if (known == m_numberByJob.end())
     return;
   Entry& entry = m_jobs.at(known->second);
-  if (entry.recalledFrom != from)
+  if (entry.stopRequestedFrom != from)
     return;
   if (overIn > Duration::zero())
     hold(entry, now + overIn, now);
@@ -437,14 +441,14 @@
 }
 
 IdList
-Gateway::jobsAt(const VmId& holder) const
+Gateway::jobsSubmittedTo(const VmId& holder) const
 {
   IdList jobs;
   for (const auto& [number, entry] : m_jobs) {
-    const auto isThere = [&](const auto& item) {
+    const auto hasPart = [&](const auto& item) {
       return item.second.holder == holder;
     };
-    if (std::any_of(entry.parts.begin(), entry.parts.end(), isThere))
+    if (std::any_of(entry.parts.begin(), entry.parts.end(), hasPart))
       jobs.add(entry.submission.job.value());
   }
   return jobs;
@@ -476,11 +480,11 @@
 
 /// The job and the part that daemon `from` has under this key now, or null
 /// pointers.
-Gateway::PartPlace
+Gateway::PartRef
 Gateway::find(const VmId& from, const JobKey& key)
 {
-  const auto place = m_keys.find(key.part());
-  if (place == m_keys.end())
+  const auto place = m_partByKey.find(key.part());
+  if (place == m_partByKey.end())
     return { nullptr, nullptr };
   Entry& entry = m_jobs.at(place->second.first);
   Part& part = entry.parts.at(place->second.second);
@@ -499,9 +503,9 @@
 }
 
 void
-Gateway::partDone(Entry& entry, Part& part, TimePoint now)
+Gateway::partCompleted(Entry& entry, Part& part, TimePoint now)
 {
-  m_keys.erase(part.key.part());
+  m_partByKey.erase(part.key.part());
   entry.parts.erase(part.id);
   if (entry.parts.empty())
     finish(entry, { JobAnswer::Kind::Completed, Duration::zero(), "" }, now);
@@ -517,13 +521,13 @@
 {
   part.holder.reset();
   part.isSuggested = false;
-  if (entry.isSplit || part.lostAt) {
+  if (entry.isSplit || part.orphanedAt) {
     place(entry, part, now);
     return;
   }
   part.refusedBy.insert(part.shard);
   part.retryAfter = std::min(part.retryAfter, end.retryAfter);
-  if (!placeFresh(entry, part, now))
+  if (!placeOnBestHolder(entry, part, now))
     finish(entry,
            { JobAnswer::Kind::NotRun, part.retryAfter, "no room in time" },
            now);
@@ -533,17 +537,17 @@
 /// part has others left if the message that returned them was lost with its
 /// connection.
 void
-Gateway::partMoved(Entry& entry, Part& part, const JobEnd& end, TimePoint now)
+Gateway::partGivenUp(Entry& entry, Part& part, const JobEnd& end, TimePoint now)
 {
   for (const TaskIndex task : end.done)
     part.tasks.erase(task);
   if (part.tasks.empty()) {
-    partDone(entry, part, now);
+    partCompleted(entry, part, now);
     return;
   }
   part.firstRun = std::max(part.firstRun, end.nextRun);
   part.crashes = end.crashes;
-  markLost(part, now);
+  markOrphaned(part, now);
   part.underWay = end.underWay;
   place(entry, part, now);
 }
@@ -551,30 +555,30 @@
 void
 Gateway::place(Entry& entry, Part& part, TimePoint now)
 {
-  const bool isPlaced =
-    part.lostAt ? placeAgain(entry, part, now) : placeFresh(entry, part, now);
-  const bool mayRefuse = !part.lostAt && !entry.isSplit;
+  const bool isPlaced = part.orphanedAt ? placeAfterLoss(entry, part, now)
+                                        : placeOnBestHolder(entry, part, now);
+  const bool mayRefuse = !part.orphanedAt && !entry.isSplit;
   if (isPlaced || !mayRefuse)
     return;
   if (m_hooks.areAllEvacuated()) {
     finish(entry,
            { JobAnswer::Kind::NotRun,
-             m_settings.evacuatedRetry,
+             m_settings.evacuatedRetryAfter,
              "all availability zones are evacuated" },
            now);
     return;
   }
-  if (!hasWaitedForHolder(entry, now))
+  if (!isHolderWaitOver(entry, now))
     return;
   finish(entry,
          { JobAnswer::Kind::NotRun,
-           m_settings.noHolderRetry,
+           m_settings.noHolderRetryAfter,
            "no daemon holds workers" },
          now);
 }
 
 bool
-Gateway::hasWaitedForHolder(const Entry& entry, TimePoint now) const
+Gateway::isHolderWaitOver(const Entry& entry, TimePoint now) const
 {
   const QueuePolicy& policy = entry.submission.policy;
   const double ideal =
@@ -585,12 +589,12 @@
 }
 
 bool
-Gateway::placeFresh(Entry& entry, Part& part, TimePoint now)
+Gateway::placeOnBestHolder(Entry& entry, Part& part, TimePoint now)
 {
   part.isSuggested = false;
   const auto best = m_hooks.bestHolder(part.refusedBy);
   if (!best || !mayAsk(part, *best) ||
-      !handTo(entry, part, best->holder, best->shard, now))
+      !submitPart(entry, part, best->holder, best->shard, now))
     return false;
   logEvent(LogLevel::Info,
            "job-placed",
@@ -615,22 +619,22 @@
 /// which finds the runs that still go on. If there is no such holder, the part
 /// is placed elsewhere once all orphaned runs have ended.
 bool
-Gateway::placeAgain(Entry& entry, Part& part, TimePoint now)
+Gateway::placeAfterLoss(Entry& entry, Part& part, TimePoint now)
 {
   if (const auto next = m_hooks.nextHolder(part.shard)) {
-    if (handTo(entry, part, next->holder, next->shard, now))
+    if (submitPart(entry, part, next->holder, next->shard, now))
       return true;
   }
-  const bool isOver = now - *part.lostAt >= m_settings.lostRunLimit;
-  return isOver && placeFresh(entry, part, now);
+  const bool isOver = now - *part.orphanedAt >= m_settings.lostRunLimit;
+  return isOver && placeOnBestHolder(entry, part, now);
 }
 
 bool
-Gateway::handTo(Entry& entry,
-                Part& part,
-                const VmId& vm,
-                const ShardId& shard,
-                TimePoint now)
+Gateway::submitPart(Entry& entry,
+                    Part& part,
+                    const VmId& vm,
+                    const ShardId& shard,
+                    TimePoint now)
 {
   JobRequest request;
   request.key = JobKey(m_self, entry.submission.job, ++m_lastKey);
@@ -644,27 +648,29 @@
   request.crashes = part.crashes;
   request.age = now - entry.arrivedAt;
   request.timeLeft = entry.expiresAt - now;
-  if (!entry.isTold)
+  if (!entry.isReported)
     request.exclusiveFor = entry.exclusiveUntil - now;
   request.mayBeReturned = part.mayBeReturned;
   request.shard = shard;
   // A holder that was named for its free slots may refuse. Any other holder
   // queues the part of a split job.
   const bool mayRefuse = !entry.isSplit || part.isSuggested;
-  request.mayHaveRun = part.lostAt || !mayRefuse;
-  const Duration lostFor = part.lostAt ? now - *part.lostAt : Duration::zero();
-  if (part.lostAt && lostFor < m_settings.lostRunLimit)
-    request.quarantine = Quarantine{
-      part.lostOn, lostFor, m_settings.lostRunLimit - lostFor, part.underWay
-    };
+  request.mayHaveRun = part.orphanedAt || !mayRefuse;
+  const Duration orphanedFor =
+    part.orphanedAt ? now - *part.orphanedAt : Duration::zero();
+  if (part.orphanedAt && orphanedFor < m_settings.lostRunLimit)
+    request.quarantine = Quarantine{ part.orphanWorkers,
+                                     orphanedFor,
+                                     m_settings.lostRunLimit - orphanedFor,
+                                     part.underWay };
   if (!m_hooks.submit(vm, request))
     return false;
-  m_keys.erase(part.key.part());
-  m_keys[request.key.part()] = { entry.number, part.id };
+  m_partByKey.erase(part.key.part());
+  m_partByKey[request.key.part()] = { entry.number, part.id };
   part.key = request.key;
   part.holder = vm;
   part.shard = shard;
-  if (part.lostAt)
+  if (part.orphanedAt)
     logDecision(LogLevel::Info,
                 "job-resubmitted",
                 { { "job", entry.submission.job },
@@ -674,7 +680,7 @@
                   { "previousPart", request.previousPart },
                   { "tasks", request.tasks.size() },
                   { "cause", part.underWay ? "moved" : "holder-lost" },
-                  { "sinceLossMs", toMilliseconds(lostFor) } });
+                  { "sinceLossMs", toMilliseconds(orphanedFor) } });
   return true;
 }
 
@@ -683,9 +689,9 @@
 {
   const std::map<Ticket, Done> callers = std::move(entry.callers);
   forget(entry, now);
-  for (const auto& [ticket, done] : callers)
-    m_tickets.erase(ticket);
-  for (const auto& [ticket, done] : callers)
+  for (const auto& [callerId, done] : callers)
+    m_jobByCaller.erase(callerId);
+  for (const auto& [callerId, done] : callers)
     done(answer);
 }
 
@@ -694,13 +700,13 @@
 Gateway::forget(Entry& entry, TimePoint now)
 {
   for (const auto& [id, part] : entry.parts) {
-    m_keys.erase(part.key.part());
+    m_partByKey.erase(part.key.part());
     if (part.holder)
       m_hooks.cancel(*part.holder, part.key);
-    if (part.holder || part.lostAt)
-      m_givenUp[entry.submission.job] = now + m_settings.lostRunLimit;
+    if (part.holder || part.orphanedAt)
+      m_abandoned[entry.submission.job] = now + m_settings.lostRunLimit;
   }
-  m_byId.erase(entry.submission.job);
+  m_numberByJob.erase(entry.submission.job);
   m_jobs.erase(entry.number);
 }
 
--- a/src/libentry/gateway.h
+++ b/src/libentry/gateway.h
@@ -83,10 +83,10 @@
     Duration lostRunLimit = cowslippin::lostRunLimit;
     /// Retry delay given to a caller whose job is refused because no daemon
     /// holds workers.
-    Duration noHolderRetry = std::chrono::milliseconds(500);
+    Duration noHolderRetryAfter = std::chrono::milliseconds(500);
     /// Retry delay given to a caller while all zones are evacuated, which takes
     /// seconds at least.
-    Duration evacuatedRetry = std::chrono::seconds(2);
+    Duration evacuatedRetryAfter = std::chrono::seconds(2);
     /// Jobs that have been in progress for this long are reported to the peers.
     /// Most jobs end earlier.
     Duration tellAfter = std::chrono::milliseconds(450);
@@ -96,10 +96,10 @@
     Duration untoldMargin = std::chrono::milliseconds(90);
     /// A job of which no task was started is refused if it can't be reported to
     /// the peers for this long.
-    Duration tellLimit = std::chrono::milliseconds(500);
+    Duration reportTimeout = std::chrono::milliseconds(500);
     /// A stop request that gets no answer is repeated after this time: it may
     /// have been lost with its connection.
-    Duration recallRetry = std::chrono::milliseconds(150);
+    Duration stopRequestRetryInterval = std::chrono::milliseconds(150);
   };
 
   /// Functions of the daemon that the gateway calls. None may be empty.
@@ -149,7 +149,7 @@
   Ticket submit(JobSubmission submission, Done done, TimePoint now);
   /// The caller has disconnected before it was answered. The job is cancelled
   /// if no other caller waits for it.
-  void callerGone(Ticket ticket, TimePoint now);
+  void callerGone(Ticket callerId, TimePoint now);
 
   /// A holder reports how a job, or its part of one, has ended.
   void ended(const VmId& from,
@@ -194,7 +194,7 @@
   /// The daemons that have a part of any job.
   std::set<VmId> holders() const;
   /// The jobs of which this holder has a part.
-  IdList jobsAt(const VmId& holder) const;
+  IdList jobsSubmittedTo(const VmId& holder) const;
 
 private:
   /// The tasks of a job that are submitted to one holder together.
@@ -213,10 +213,10 @@
     ShardId shard;
     /// When a holder of the part was last lost or gave it up, so that runs may
     /// be orphaned.
-    std::optional<TimePoint> lostAt;
+    std::optional<TimePoint> orphanedAt;
     /// The workers on which orphaned runs may go on. Empty if they aren't
     /// known, or if more than one holder may have left runs.
-    std::optional<ShardWorkers> lostOn;
+    std::optional<ShardWorkers> orphanWorkers;
     /// The tasks that may still be running since then, if the holder that gave
     /// the part up has listed them.
     std::optional<std::vector<TaskPlace>> underWay;
@@ -231,6 +231,7 @@
     std::set<ShardId> refusedBy;
     Duration retryAfter = Duration::max();
   };
+  /// A job in progress here.
   struct Entry
   {
     std::uint64_t number = 0;
@@ -247,49 +248,49 @@
     TimePoint exclusiveUntil{};
     /// When the job counts as long-running, and whether it has been reported to
     /// the peers since.
-    TimePoint longFrom{};
-    bool isTold = false;
+    TimePoint longRunningFrom{};
+    bool isReported = false;
     /// The peer that was asked to stop an earlier submission of the job and
     /// hasn't answered yet, and when it was last asked.
-    std::optional<VmId> recalledFrom;
-    TimePoint recalledAt{};
+    std::optional<VmId> stopRequestedFrom;
+    TimePoint stopRequestedAt{};
     /// Nothing is submitted until then, because runs of an earlier submission
     /// may go on. Unset otherwise.
     std::optional<TimePoint> heldUntil;
   };
   using Entries = std::map<std::uint64_t, Entry>;
 
-  using PartPlace = std::pair<Entry*, Part*>;
+  using PartRef = std::pair<Entry*, Part*>;
 
   void logCallers(const char* event, const Entry& entry, TimePoint now) const;
-  PartPlace find(const VmId& from, const JobKey& key);
+  PartRef find(const VmId& from, const JobKey& key);
   Part& addPart(Entry& entry);
   void begin(Entry& entry, TimePoint now);
   void hold(Entry& entry, TimePoint until, TimePoint now);
-  void placeAll(Entry& entry, TimePoint now);
-  void recallFrom(const VmId& vm, const Entry& entry, TimePoint now);
-  bool mayBeginNow(const Entry& entry, TimePoint now) const;
+  void placeUnassignedParts(Entry& entry, TimePoint now);
+  void requestStop(const VmId& vm, const Entry& entry, TimePoint now);
+  bool isRetryDue(const Entry& entry, TimePoint now) const;
   static Duration ageOf(const Entry& entry, TimePoint now);
-  static TimePoint exclusiveFromArrival(const Entry& entry);
-  static bool mayRun(const Entry& entry);
-  TimePoint untoldEnd(const Entry& entry) const;
-  void endUntold(Entry& entry, TimePoint now);
-  void tellOthers(TimePoint now);
-  void setTold(Entry& entry);
-  void markLost(Part& part, TimePoint now) const;
-  void partDone(Entry& entry, Part& part, TimePoint now);
+  static TimePoint exclusiveUntilIfUnreported(const Entry& entry);
+  static bool mayHaveRuns(const Entry& entry);
+  TimePoint unreportedDeadline(const Entry& entry) const;
+  void endUnreported(Entry& entry, TimePoint now);
+  void markReportedJobs(TimePoint now);
+  void markReported(Entry& entry);
+  void markOrphaned(Part& part, TimePoint now) const;
+  void partCompleted(Entry& entry, Part& part, TimePoint now);
   void partRefused(Entry& entry, Part& part, const JobEnd& end, TimePoint now);
-  void partMoved(Entry& entry, Part& part, const JobEnd& end, TimePoint now);
+  void partGivenUp(Entry& entry, Part& part, const JobEnd& end, TimePoint now);
   void place(Entry& entry, Part& part, TimePoint now);
-  bool hasWaitedForHolder(const Entry& entry, TimePoint now) const;
-  bool placeFresh(Entry& entry, Part& part, TimePoint now);
+  bool isHolderWaitOver(const Entry& entry, TimePoint now) const;
+  bool placeOnBestHolder(Entry& entry, Part& part, TimePoint now);
   bool mayAsk(const Part& part, const HolderChoice& choice) const;
-  bool placeAgain(Entry& entry, Part& part, TimePoint now);
-  bool handTo(Entry& entry,
-              Part& part,
-              const VmId& vm,
-              const ShardId& shard,
-              TimePoint now);
+  bool placeAfterLoss(Entry& entry, Part& part, TimePoint now);
+  bool submitPart(Entry& entry,
+                  Part& part,
+                  const VmId& vm,
+                  const ShardId& shard,
+                  TimePoint now);
   void finish(Entry& entry, const JobAnswer& answer, TimePoint now);
   void forget(Entry& entry, TimePoint now);
 
@@ -297,16 +298,16 @@
   const Settings m_settings;
   const Hooks m_hooks;
   Entries m_jobs;
-  std::map<JobId, std::uint64_t> m_byId;
+  std::map<JobId, std::uint64_t> m_numberByJob;
   /// For each submitted key, the job number and the part id.
-  std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>> m_keys;
-  std::map<Ticket, std::uint64_t> m_tickets;
+  std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>> m_partByKey;
+  std::map<Ticket, std::uint64_t> m_jobByCaller;
   /// Jobs that were abandoned, and the time by which all their runs have ended.
-  std::map<JobId, TimePoint> m_givenUp;
+  std::map<JobId, TimePoint> m_abandoned;
   std::uint64_t m_lastJob = 0;
   std::uint64_t m_lastPart = 0;
   std::uint64_t m_lastKey = 0;
-  Ticket m_lastTicket = 0;
+  Ticket m_lastCallerId = 0;
 };
 
 } // namespace cowslippin
--- a/src/libentry/heartbeatplan.cpp
+++ b/src/libentry/heartbeatplan.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// How much longer an interval may be because a tick comes late.
-constexpr Duration lateTick = std::chrono::milliseconds(20);
+constexpr Duration tickDelayTolerance = std::chrono::milliseconds(20);
 
 } // namespace
 
@@ -21,24 +21,27 @@
   };
   const auto closeCount = static_cast<std::size_t>(
     std::count_if(close.begin(), close.end(), isUpAndClose));
-  const std::size_t distant = up.size() - closeCount;
-  const std::size_t left = m_settings.perInterval > closeCount
-                             ? m_settings.perInterval - closeCount
-                             : 0;
-  const std::size_t turns = std::max(left, m_settings.leastDistant);
-  m_slots = std::max<std::size_t>(1, (distant + turns - 1) / turns);
-  for (auto known = m_promisedBy.begin(); known != m_promisedBy.end();) {
+  const std::size_t distantCount = up.size() - closeCount;
+  const std::size_t remaining = m_settings.perInterval > closeCount
+                                  ? m_settings.perInterval - closeCount
+                                  : 0;
+  const std::size_t distantPerInterval =
+    std::max(remaining, m_settings.minDistantPerInterval);
+  m_intervalsPerTurn = std::max<std::size_t>(
+    1, (distantCount + distantPerInterval - 1) / distantPerInterval);
+  for (auto known = m_nextDueAt.begin(); known != m_nextDueAt.end();) {
     if (up.count(known->first) == 0)
-      known = m_promisedBy.erase(known);
+      known = m_nextDueAt.erase(known);
     else
       ++known;
   }
   std::vector<VmId> due;
   for (const VmId& peer : up) {
-    const auto promised = m_promisedBy.find(peer);
-    const bool isDue = m_slots == 1 || close.count(peer) > 0 ||
-                       promised == m_promisedBy.end() ||
-                       promised->second - now < m_settings.interval + lateTick;
+    const auto nextDue = m_nextDueAt.find(peer);
+    const bool isDue =
+      m_intervalsPerTurn == 1 || close.count(peer) > 0 ||
+      nextDue == m_nextDueAt.end() ||
+      nextDue->second - now < m_settings.interval + tickDelayTolerance;
     if (isDue)
       due.push_back(peer);
   }
@@ -48,16 +51,18 @@
 Duration
 HeartbeatPlan::promise(const VmId& peer, bool isClose, TimePoint now)
 {
-  const auto [promised, isNew] = m_promisedBy.try_emplace(peer);
+  const auto [nextDue, isNew] = m_nextDueAt.try_emplace(peer);
   // A heartbeat that is sent out of turn doesn't move the peer's turn.
-  if (!isClose && promised->second - now >= m_settings.interval + lateTick)
-    return promised->second - now;
-  auto slots = static_cast<int>(isClose ? 1 : m_slots);
+  if (!isClose &&
+      nextDue->second - now >= m_settings.interval + tickDelayTolerance)
+    return nextDue->second - now;
+  auto intervals = static_cast<int>(isClose ? 1 : m_intervalsPerTurn);
   if (isNew && !isClose)
-    slots = static_cast<int>(1 + m_newcomers++ % m_slots);
+    intervals = static_cast<int>(1 + m_addedPeers++ % m_intervalsPerTurn);
   const Duration wait =
-    slots == 1 ? m_settings.interval : (m_settings.interval + lateTick) * slots;
-  promised->second = now + wait;
+    intervals == 1 ? m_settings.interval
+                   : (m_settings.interval + tickDelayTolerance) * intervals;
+  nextDue->second = now + wait;
   return wait;
 }
 
--- a/src/libentry/heartbeatplan.h
+++ b/src/libentry/heartbeatplan.h
@@ -32,7 +32,7 @@
     std::size_t perInterval = 49;
     /// Minimum number of peers that aren't close and are sent a heartbeat in
     /// one interval, however many peers are close.
-    std::size_t leastDistant = 10;
+    std::size_t minDistantPerInterval = 10;
   };
 
   explicit HeartbeatPlan(Settings settings)
@@ -46,7 +46,7 @@
                         const std::set<VmId>& close,
                         TimePoint now);
   /// Whether each peer is sent a heartbeat in each interval.
-  bool isEachDue() const { return m_slots <= 1; }
+  bool sendsToEachPeer() const { return m_intervalsPerTurn <= 1; }
 
   /// Schedules the next heartbeat of a peer that is sent one now. Returns the
   /// time within which that next one is sent.
@@ -56,11 +56,11 @@
   const Settings m_settings;
   /// Number of intervals in which each peer that isn't close gets one
   /// heartbeat.
-  std::size_t m_slots = 1;
+  std::size_t m_intervalsPerTurn = 1;
   /// Number of peers added so far. It spreads their first heartbeats over the
   /// intervals.
-  std::size_t m_newcomers = 0;
-  std::map<VmId, TimePoint> m_promisedBy;
+  std::size_t m_addedPeers = 0;
+  std::map<VmId, TimePoint> m_nextDueAt;
 };
 
 } // namespace cowslippin
--- a/src/libentry/holderchoice.h
+++ b/src/libentry/holderchoice.h
@@ -33,15 +33,16 @@
 public:
   /// Chooses one of two shards of the local zone, or of the other zones if the
   /// local one has none. Returns nothing if there is no shard.
-  std::optional<HolderChoice> choose(const std::vector<HolderChoice>& home,
-                                     const std::vector<HolderChoice>& abroad);
+  std::optional<HolderChoice> choose(
+    const std::vector<HolderChoice>& localZone,
+    const std::vector<HolderChoice>& otherZones);
 
   /// Chooses a shard for a job that other shards have refused: the one whose
   /// holder reported the most free slots, and one of the local zone on a tie.
   /// Returns nothing if there is no shard.
   static std::optional<HolderChoice> roomiest(
-    const std::vector<HolderChoice>& home,
-    const std::vector<HolderChoice>& abroad);
+    const std::vector<HolderChoice>& localZone,
+    const std::vector<HolderChoice>& otherZones);
 
 private:
   std::size_t m_turn = 0;
--- a/src/libentry/holderlookup.cpp
+++ b/src/libentry/holderlookup.cpp
@@ -27,7 +27,7 @@
 }
 
 bool
-HolderLookup::hasAny() const
+HolderLookup::hasReachableHolder() const
 {
   const auto shards = m_sources.shards.servedShards();
   return std::any_of(shards.begin(), shards.end(), [this](const auto& shard) {
@@ -51,7 +51,7 @@
   const ShardId present = m_sources.scheduler.presentShard(shard);
   for (const ShardId& candidate : { shard, present }) {
     if (const auto holder = reachable(candidate))
-      return choiceOf(*holder, candidate, now);
+      return makeChoice(*holder, candidate, now);
   }
   return std::nullopt;
 }
@@ -59,24 +59,24 @@
 std::optional<HolderChoice>
 HolderLookup::best(const std::set<ShardId>& refusedBy, TimePoint now)
 {
-  std::vector<HolderChoice> home;
-  std::vector<HolderChoice> abroad;
+  std::vector<HolderChoice> localZone;
+  std::vector<HolderChoice> otherZones;
   for (const ShardId& shard : m_sources.shards.servedShards()) {
     const auto holder = reachable(shard);
     const bool isEvacuated = m_sources.scheduler.isEvacuated(shard.zone());
     if (!holder || isEvacuated || refusedBy.count(shard) > 0)
       continue;
-    auto& choices = shard.zone() == m_zone ? home : abroad;
-    choices.push_back(choiceOf(*holder, shard, now));
+    auto& choices = shard.zone() == m_zone ? localZone : otherZones;
+    choices.push_back(makeChoice(*holder, shard, now));
   }
-  return refusedBy.empty() ? m_chooser.choose(home, abroad)
-                           : HolderChooser::roomiest(home, abroad);
+  return refusedBy.empty() ? m_chooser.choose(localZone, otherZones)
+                           : HolderChooser::roomiest(localZone, otherZones);
 }
 
 HolderChoice
-HolderLookup::choiceOf(const VmId& holder,
-                       const ShardId& shard,
-                       TimePoint now) const
+HolderLookup::makeChoice(const VmId& holder,
+                         const ShardId& shard,
+                         TimePoint now) const
 {
   HolderChoice choice;
   choice.holder = holder;
--- a/src/libentry/holderlookup.h
+++ b/src/libentry/holderlookup.h
@@ -35,7 +35,7 @@
   std::optional<VmId> reachable(const ShardId& shard) const;
 
   /// Whether any served shard has a holder that can be reached.
-  bool hasAny() const;
+  bool hasReachableHolder() const;
 
   /// Whether there are workers and all of them are in evacuated zones.
   bool areAllEvacuated() const;
@@ -50,9 +50,9 @@
                                    TimePoint now);
 
 private:
-  HolderChoice choiceOf(const VmId& holder,
-                        const ShardId& shard,
-                        TimePoint now) const;
+  HolderChoice makeChoice(const VmId& holder,
+                          const ShardId& shard,
+                          TimePoint now) const;
 
   const VmId m_self;
   const ZoneName m_zone;
--- a/src/libentry/knownjobs.cpp
+++ b/src/libentry/knownjobs.cpp
@@ -13,13 +13,13 @@
 {
   Peer& peer = m_peers[vm];
   if (peer.lostAt)
-    leave(peer);
+    keepOrphans(peer);
   peer.lostAt.reset();
   expire(now);
   peer.jobs.clear();
   for (const LongJob& job : jobs)
     peer.jobs.insert(job.job);
-  peer.heardAt = now;
+  peer.reportedAt = now;
 }
 
 void
@@ -50,20 +50,20 @@
       return Place{ vm, TimePoint() };
     overAt = std::max(overAt, KnownJobs::overAt(peer));
   }
-  const auto left = m_left.find(job);
-  if (left != m_left.end())
-    overAt = std::max(overAt, left->second);
+  const auto orphan = m_orphanedUntil.find(job);
+  if (orphan != m_orphanedUntil.end())
+    overAt = std::max(overAt, orphan->second);
   if (overAt == now)
     return std::nullopt;
   return Place{ std::nullopt, overAt };
 }
 
 void
-KnownJobs::leave(const Peer& peer)
+KnownJobs::keepOrphans(const Peer& peer)
 {
   for (const JobId& job : peer.jobs) {
-    TimePoint& left = m_left[job];
-    left = std::max(left, overAt(peer));
+    TimePoint& orphan = m_orphanedUntil[job];
+    orphan = std::max(orphan, overAt(peer));
   }
 }
 
@@ -74,8 +74,9 @@
     const bool isOver = peer->second.lostAt && now >= overAt(peer->second);
     peer = isOver ? m_peers.erase(peer) : std::next(peer);
   }
-  for (auto left = m_left.begin(); left != m_left.end();)
-    left = now >= left->second ? m_left.erase(left) : std::next(left);
+  for (auto orphan = m_orphanedUntil.begin(); orphan != m_orphanedUntil.end();)
+    orphan =
+      now >= orphan->second ? m_orphanedUntil.erase(orphan) : std::next(orphan);
 }
 
 /// When all runs of a lost peer have ended. A silent peer was alive until its
@@ -83,7 +84,7 @@
 TimePoint
 KnownJobs::overAt(const Peer& peer)
 {
-  const TimePoint nextAt = peer.heardAt + HeartbeatPlan::Settings().interval;
+  const TimePoint nextAt = peer.reportedAt + HeartbeatPlan::Settings().interval;
   return std::min(peer.lostAt.value_or(nextAt), nextAt) + lostRunLimit;
 }
 
--- a/src/libentry/knownjobs.h
+++ b/src/libentry/knownjobs.h
@@ -51,18 +51,18 @@
   struct Peer
   {
     std::set<JobId> jobs;
-    TimePoint heardAt{};
+    TimePoint reportedAt{};
     std::optional<TimePoint> lostAt;
   };
 
   static TimePoint overAt(const Peer& peer);
-  void leave(const Peer& peer);
+  void keepOrphans(const Peer& peer);
   void expire(TimePoint now);
 
   std::map<VmId, Peer> m_peers;
   /// Jobs of peers that were lost and came back, perhaps as new processes, and
   /// the time by which all runs from before the loss have ended.
-  std::map<JobId, TimePoint> m_left;
+  std::map<JobId, TimePoint> m_orphanedUntil;
 };
 
 } // namespace cowslippin
--- a/src/libentry/peercontact.cpp
+++ b/src/libentry/peercontact.cpp
@@ -11,7 +11,7 @@
 constexpr Duration acknowledgementInterval = std::chrono::milliseconds(120);
 /// When the last contact is older than this, a heartbeat is sent out of turn:
 /// in a large group the peer's turn may be a long time off.
-constexpr Duration askedAfter = std::chrono::milliseconds(400);
+constexpr Duration outOfTurnAfter = std::chrono::milliseconds(400);
 /// How far the clocks of two machines may drift apart over the age of a
 /// heartbeat.
 constexpr Duration clockTolerance = std::chrono::milliseconds(10);
@@ -73,13 +73,13 @@
 }
 
 bool
-PeerContact::takeAsking(const VmId& vm, TimePoint now)
+PeerContact::takeOutOfTurnRequest(const VmId& vm, TimePoint now)
 {
   Peer& peer = m_peers[vm];
-  if (now - peer.contact <= askedAfter ||
-      now - peer.askedAt < acknowledgementInterval)
+  if (now - peer.contact <= outOfTurnAfter ||
+      now - peer.outOfTurnAt < acknowledgementInterval)
     return false;
-  peer.askedAt = now;
+  peer.outOfTurnAt = now;
   return true;
 }
 
@@ -107,8 +107,8 @@
 PeerContact::tick(TimePoint now)
 {
   for (auto& [vm, peer] : m_peers) {
-    peer.settled = peer.atTick;
-    peer.atTick = peer.newest;
+    peer.settled = peer.newestAtTick;
+    peer.newestAtTick = peer.newest;
   }
   m_previousTickAt = m_tickAt;
   m_tickAt = now;
--- a/src/libentry/peercontact.h
+++ b/src/libentry/peercontact.h
@@ -60,7 +60,7 @@
 
   /// Whether to send the peer a heartbeat out of turn, to have it acknowledged.
   /// Returns false for some time after it returned true.
-  bool takeAsking(const VmId& vm, TimePoint now);
+  bool takeOutOfTurnRequest(const VmId& vm, TimePoint now);
 
   /// A peer has acknowledged a heartbeat of this daemon.
   void acknowledged(const VmId& vm, const PeerBeatAck& ack, TimePoint now);
@@ -88,11 +88,11 @@
     /// last complete round of the event loop.
     SentAt newest = 0;
     TimePoint newestAt{};
-    SentAt atTick = 0;
+    SentAt newestAtTick = 0;
     SentAt settled = 0;
     SentAt acknowledged = 0;
     TimePoint acknowledgedAt{};
-    TimePoint askedAt{};
+    TimePoint outOfTurnAt{};
     TimePoint contact{};
     TimePoint toldUntil{};
   };
--- a/src/libentry/strainmeter.cpp
+++ b/src/libentry/strainmeter.cpp
@@ -25,10 +25,10 @@
     m_lateness = Duration(static_cast<Duration::rep>(mean));
   }
   m_lastTickAt = now;
-  const bool was = m_isStrained;
-  m_isStrained =
-    m_lateness > (was ? m_settings.calmLateness : m_settings.strainLateness);
-  return m_isStrained != was;
+  const bool wasStrained = m_isStrained;
+  m_isStrained = m_lateness > (wasStrained ? m_settings.recoveryLateness
+                                           : m_settings.overloadLateness);
+  return m_isStrained != wasStrained;
 }
 
 } // namespace cowslippin
--- a/src/libentry/strainmeter.h
+++ b/src/libentry/strainmeter.h
@@ -19,8 +19,8 @@
     /// above the first value, until the mean falls to the second one. For
     /// comparison, the silence limit between daemons is 450 ms, and a heartbeat
     /// is sent every 140 ms.
-    Duration strainLateness = std::chrono::milliseconds(60);
-    Duration calmLateness = std::chrono::milliseconds(15);
+    Duration overloadLateness = std::chrono::milliseconds(60);
+    Duration recoveryLateness = std::chrono::milliseconds(15);
   };
 
   explicit StrainMeter(Settings settings);
--- a/src/libentry/tokensource.cpp
+++ b/src/libentry/tokensource.cpp
@@ -14,11 +14,11 @@
 constexpr std::uint64_t tokensPerMs = 4096;
 constexpr std::int64_t tokenEpochMs = 1704067200000;
 /// Minimum increment above the highest known token.
-constexpr std::uint64_t usualMargin = tokensPerMs;
+constexpr std::uint64_t minIncrement = tokensPerMs;
 /// Minimum increment after a refusal: three seconds, which is more than the
 /// clocks of the machines differ by.
-constexpr std::uint64_t refusalMargin = 3000 * tokensPerMs;
-/// Maximum number of doublings of `refusalMargin`; it then stands for 51
+constexpr std::uint64_t refusalIncrement = 3000 * tokensPerMs;
+/// Maximum number of doublings of `refusalIncrement`; it then stands for 51
 /// minutes.
 constexpr unsigned maxDoublings = 10;
 
@@ -40,7 +40,7 @@
 FencingToken
 TokenSource::next()
 {
-  return above(usualMargin);
+  return makeAbove(minIncrement);
 }
 
 FencingToken
@@ -49,11 +49,11 @@
   if (refusals == 0)
     return next();
   const unsigned doublings = std::min(refusals - 1, maxDoublings);
-  return above(refusalMargin << doublings);
+  return makeAbove(refusalIncrement << doublings);
 }
 
 FencingToken
-TokenSource::above(std::uint64_t margin)
+TokenSource::makeAbove(std::uint64_t margin)
 {
   const std::int64_t sinceEpoch = m_timeOfDay() - tokenEpochMs;
   const auto fromClock =
--- a/src/libentry/tokensource.h
+++ b/src/libentry/tokensource.h
@@ -34,7 +34,7 @@
   FencingToken highest() const { return m_highest; }
 
 private:
-  FencingToken above(std::uint64_t margin);
+  FencingToken makeAbove(std::uint64_t margin);
 
   const std::function<std::int64_t()> m_timeOfDay;
   const std::uint64_t m_processNumber;
--- a/src/libentry/vacancyprobe.cpp
+++ b/src/libentry/vacancyprobe.cpp
@@ -17,14 +17,15 @@
                     const std::vector<WorkerRecord>& workers,
                     TimePoint now)
 {
-  Finding& finding = m_findings[shard];
-  const bool isUnderWay = finding.round && finding.round->waiting > 0;
-  if (isUnderWay || now - finding.startedAt < m_settings.interval)
+  ShardState& shardState = m_shardStates[shard];
+  const bool isRoundInProgress =
+    shardState.round && shardState.round->waiting > 0;
+  if (isRoundInProgress || now - shardState.startedAt < m_settings.interval)
     return;
   const auto round = std::make_shared<Round>();
   round->waiting = std::min(workers.size(), m_settings.workers);
-  finding.round = round;
-  finding.startedAt = now;
+  shardState.round = round;
+  shardState.startedAt = now;
   HoldOrder order;
   order.token = token;
   for (std::size_t i = 0; i < round->waiting; ++i)
@@ -40,19 +41,20 @@
 bool
 VacancyProbe::isVacant(const ShardId& shard) const
 {
-  const auto found = m_findings.find(shard);
-  return found != m_findings.end() &&
+  const auto found = m_shardStates.find(shard);
+  return found != m_shardStates.end() &&
          found->second.vacantRounds >= m_settings.rounds;
 }
 
 void
 VacancyProbe::keepOnly(const std::set<ShardId>& shards)
 {
-  for (auto finding = m_findings.begin(); finding != m_findings.end();) {
-    if (shards.count(finding->first) == 0)
-      finding = m_findings.erase(finding);
+  for (auto shardState = m_shardStates.begin();
+       shardState != m_shardStates.end();) {
+    if (shards.count(shardState->first) == 0)
+      shardState = m_shardStates.erase(shardState);
     else
-      ++finding;
+      ++shardState;
   }
 }
 
@@ -69,26 +71,27 @@
   if (report && !report->ended.empty())
     round->ends[worker] = { report->birth, report->ended.front().number };
   const auto* failure = std::get_if<OrderFailure>(&answer);
-  round->isTaken =
-    round->isTaken || (failure && *failure == OrderFailure::Fenced);
-  const auto found = m_findings.find(shard);
-  if (round->waiting == 0 && found != m_findings.end() &&
+  round->isTokenRefused =
+    round->isTokenRefused || (failure && *failure == OrderFailure::Fenced);
+  const auto found = m_shardStates.find(shard);
+  if (round->waiting == 0 && found != m_shardStates.end() &&
       found->second.round == round)
-    conclude(found->second);
+    evaluateRound(found->second);
 }
 
 void
-VacancyProbe::conclude(Finding& finding)
+VacancyProbe::evaluateRound(ShardState& shardState)
 {
-  const Round& round = *finding.round;
-  const bool isLeft =
+  const Round& round = *shardState.round;
+  const bool hasUnacknowledgedEnd =
     std::any_of(round.ends.begin(), round.ends.end(), [&](const auto& end) {
-      const auto before = finding.ends.find(end.first);
-      return before != finding.ends.end() && before->second == end.second;
+      const auto before = shardState.ends.find(end.first);
+      return before != shardState.ends.end() && before->second == end.second;
     });
-  finding.vacantRounds =
-    isLeft && !round.isTaken ? finding.vacantRounds + 1 : 0;
-  finding.ends = round.ends;
+  shardState.vacantRounds = hasUnacknowledgedEnd && !round.isTokenRefused
+                              ? shardState.vacantRounds + 1
+                              : 0;
+  shardState.ends = round.ends;
 }
 
 } // namespace cowslippin
--- a/src/libentry/vacancyprobe.h
+++ b/src/libentry/vacancyprobe.h
@@ -63,19 +63,20 @@
 private:
   /// The first ended run that each worker lists, with the incarnation of the
   /// worker.
-  using Ends = std::map<WorkerId, std::pair<WorkerBirth, std::uint64_t>>;
+  using ReportedEnds =
+    std::map<WorkerId, std::pair<WorkerBirth, std::uint64_t>>;
 
   struct Round
   {
     std::size_t waiting = 0;
-    bool isTaken = false;
-    Ends ends;
+    bool isTokenRefused = false;
+    ReportedEnds ends;
   };
-  struct Finding
+  struct ShardState
   {
     std::shared_ptr<Round> round;
     TimePoint startedAt{};
-    Ends ends;
+    ReportedEnds ends;
     unsigned vacantRounds = 0;
   };
 
@@ -83,11 +84,11 @@
                 const WorkerId& worker,
                 const std::shared_ptr<Round>& round,
                 const HoldAnswer& answer);
-  static void conclude(Finding& finding);
+  static void evaluateRound(ShardState& shardState);
 
   const Settings m_settings;
   const Hold m_hold;
-  std::map<ShardId, Finding> m_findings;
+  std::map<ShardId, ShardState> m_shardStates;
 };
 
 } // namespace cowslippin
