--- a/src/libentry/peercontact.h
+++ b/src/libentry/peercontact.h
@@ -44,9 +44,9 @@
   /// The acknowledgement to attach to a message that is sent to the peer
   /// anyway.
   PeerBeatAck acknowledgement(const VmId& vm) const;
-  /// The acknowledgement to send to the peer by itself, and marks it as sent.
-  /// Returns nothing if there is nothing new to acknowledge, or if one was sent
-  /// shortly before.
+  /// Returns the acknowledgement to send to the peer in a message of its own,
+  /// and marks it as sent. Returns nothing if there is nothing new to
+  /// acknowledge, or if one was sent shortly before.
   std::optional<PeerBeatAck> takeDue(const VmId& vm, TimePoint now);
   /// How long ago the newest heartbeat in the acknowledgement was read; zero if
   /// there is none.
