--- a/src/libentry/entrycore.cpp
+++ b/src/libentry/entrycore.cpp
@@ -16,6 +16,9 @@
 /// The same per holder that receives the message, so that the cost for a daemon
 /// doesn't grow with the group.
 constexpr Duration slotReportIntervalPerHolder = std::chrono::milliseconds(10);
+/// Free slots are reported early when their number has changed by at least one
+/// part in this many.
+constexpr unsigned minPlacesChangeDivisor = 4;
 /// How long before the platform kills this process it exits by itself.
 constexpr Duration exitMargin = std::chrono::milliseconds(400);
 /// How long jobs that were reported to the peers go on in the smaller part of a
@@ -542,7 +545,7 @@
   const unsigned places = sparePlaces(now);
   const unsigned change =
     std::max(places, m_reportedPlaces) - std::min(places, m_reportedPlaces);
-  if (change * 4 < std::max(places, m_reportedPlaces))
+  if (change * minPlacesChangeDivisor < std::max(places, m_reportedPlaces))
     return;
   m_lastSlotReportAt = now;
   m_reportedPlaces = places;
--- a/src/libentry/entrydaemon.cpp
+++ b/src/libentry/entrydaemon.cpp
@@ -57,8 +57,9 @@
 {
   constexpr int rounds = 3;
   constexpr int messages = 20;
+  constexpr std::size_t specBytes = 500;
   PeerSubmit sample;
-  sample.request.spec = std::string(500, 'x');
+  sample.request.spec = std::string(specBytes, 'x');
   Duration best = std::chrono::seconds(1);
   for (int round = 0; round < rounds; ++round) {
     const TimePoint start = steadyNow();
--- a/src/libentry/tokensource.cpp
+++ b/src/libentry/tokensource.cpp
@@ -15,9 +15,10 @@
 constexpr std::int64_t tokenEpochMs = 1704067200000;
 /// Minimum increment above the highest known token.
 constexpr std::uint64_t minIncrement = tokensPerMs;
-/// Minimum increment after a refusal: three seconds, which is more than the
-/// clocks of the machines differ by.
-constexpr std::uint64_t refusalIncrement = 3000 * tokensPerMs;
+/// The clocks of the machines differ by less than this.
+constexpr std::uint64_t maxClockDifferenceMs = 3000;
+/// Minimum increment after a refusal.
+constexpr std::uint64_t refusalIncrement = maxClockDifferenceMs * tokensPerMs;
 /// Maximum number of doublings of `refusalIncrement`; it then stands for 51
 /// minutes.
 constexpr unsigned maxDoublings = 10;
