--- a/src/libentry/configurationfetch.cpp
+++ b/src/libentry/configurationfetch.cpp
@@ -190,7 +190,7 @@
   if (!m_behindSince)
     m_behindSince = now;
   Duration wait =
-    m_inForce == 0 ? m_settings.initialHeadStart : m_settings.headStart;
+    m_inForce == 0 ? m_settings.initialPlatformWait : m_settings.headStart;
   if (isArriving)
     wait = m_settings.arrivalTime;
   return now - *m_behindSince >= wait && now >= m_nextRequestAt;
--- a/src/libentry/configurationfetch.h
+++ b/src/libentry/configurationfetch.h
@@ -38,7 +38,7 @@
     /// The same wait while no configuration is in force and so no caller is
     /// served. A response of the platform takes 4 ms, and up to 60 times as
     /// long when it is slow.
-    Duration initialHeadStart = std::chrono::milliseconds(100);
+    Duration initialPlatformWait = std::chrono::milliseconds(100);
     /// The same wait while a response of the platform is being received. A
     /// configuration has to be in force 2 s after the platform has acknowledged
     /// it.
@@ -77,7 +77,7 @@
 
   explicit ConfigurationFetch(Settings settings);
 
-  /// A peer reports the version that is in force there.
+  /// A peer advertises the version that is in force there.
   void told(const VmId& vm, const ZoneName& zone, std::uint64_t version);
   /// A peer can no longer be reached.
   void lost(const VmId& vm);
@@ -86,7 +86,7 @@
   /// A configuration that peers sent could not be parsed.
   void refused(TimePoint now);
 
-  /// The highest version that is in force here or reported by a peer.
+  /// The highest version that is in force here or advertised by a peer.
   std::uint64_t newest() const { return std::max(m_inForce, m_newestReported); }
 
   /// Returns the next request to send, if any. `isArriving` tells whether a
@@ -137,7 +137,7 @@
   const Settings m_settings;
   std::map<VmId, Peer> m_peers;
   std::uint64_t m_inForce = 0;
-  /// The highest version that a reachable peer has reported.
+  /// The highest version that a reachable peer has advertised.
   std::uint64_t m_newestReported = 0;
   /// When this daemon learned of a version newer than the one in force; unset
   /// while there is none.
--- a/src/libentry/configurationsync.h
+++ b/src/libentry/configurationsync.h
@@ -42,14 +42,14 @@
   std::shared_ptr<const RoutingTable> routing() const { return m_routing; }
   /// 0 if there is none yet.
   std::uint64_t version() const { return m_routing->version(); }
-  /// The highest version that is in force here or reported by a peer.
+  /// The highest version that is in force here or advertised by a peer.
   std::uint64_t newestVersion() const { return m_fetch.newest(); }
 
   /// A configuration was read from the platform. One that isn't newer is
   /// ignored.
   void platformRead(const std::string& body, TimePoint now);
 
-  /// A peer reports the version that is in force there.
+  /// A peer advertises the version that is in force there.
   void told(const VmId& vm, const ZoneName& zone, std::uint64_t version);
   /// A peer can no longer be reached.
   void lost(const VmId& vm);
--- a/src/libentry/entrycore.cpp
+++ b/src/libentry/entrycore.cpp
@@ -11,23 +11,24 @@
 
 namespace {
 
-/// Minimum time between two messages to other holders about free slots.
-constexpr Duration slotReportInterval = std::chrono::milliseconds(30);
+/// Minimum time between two messages to other holders about free places.
+constexpr Duration placesUpdateInterval = std::chrono::milliseconds(30);
 /// The same per holder that receives the message, so that the cost for a daemon
 /// doesn't grow with the group.
-constexpr Duration slotReportIntervalPerHolder = std::chrono::milliseconds(10);
-/// Free slots are reported early when their number has changed by at least one
-/// part in this many.
+constexpr Duration placesUpdateIntervalPerHolder =
+  std::chrono::milliseconds(10);
+/// Free places are advertised early when their number has changed by at least
+/// one part in this many.
 constexpr unsigned minPlacesChangeDivisor = 4;
 /// How long before the platform kills this process it exits by itself.
 constexpr Duration exitMargin = std::chrono::milliseconds(400);
-/// How long jobs that were reported to the peers go on in the smaller part of a
-/// partitioned group. This daemon detects within the silence limit of 450 ms
+/// How long jobs that were advertised to the peers go on in the smaller part of
+/// a partitioned group. This daemon detects within the silence limit of 450 ms
 /// that a peer is gone, and that peer may have stopped receiving from this
 /// daemon 450 ms before that. These 340 ms are what is left of
 /// `wantedRunLimit`.
 constexpr Duration partitionedJobLimit = std::chrono::milliseconds(340);
-/// How often to check whether all peers have reported.
+/// How often to check whether all peers have advertised their jobs.
 constexpr Duration peerReportPollInterval = std::chrono::milliseconds(10);
 
 ConfigurationSync::Settings
@@ -63,7 +64,7 @@
   , m_tokens(m_clocks.timeOfDay, m_clocks.processNumber)
   , m_vacancyProbe(m_settings.vacancyProbe, m_ports.hold)
   , m_directoryReaders(m_settings.vm, m_settings.zone, m_settings.slowness)
-  , m_overload(m_settings.overload)
+  , m_cpuStarvation(m_settings.cpuStarvation)
   , m_heartbeats(m_settings.heartbeats)
   , m_lastBootTime(m_clocks.sinceBoot())
   , m_grace(m_settings.grace)
@@ -382,9 +383,9 @@
     cancelAt(vm, key);
   };
   hooks.keep = [this](const VmId& vm, const JobKey& key) {
-    confirmReportedAt(vm, key);
+    confirmAdvertisedAt(vm, key);
   };
-  hooks.toldUntil = [this] { return allReportedUntil(); };
+  hooks.toldUntil = [this] { return allAdvertisedUntil(); };
   hooks.underWayAt = [this](const JobId& job) { return underWayAt(job); };
   hooks.recall = [this](const VmId& vm, const PeerRecall& recall) {
     m_links.send(vm, recall);
@@ -443,7 +444,7 @@
     m_resumeAt.reset();
     m_scheduler.resume(now);
   }
-  updateOverload(now);
+  updateCpuStarvation(now);
   m_shards.setKnownMembers(m_links.knownCount());
   probeOrphans(now);
   applyShardDecisions(now);
@@ -456,7 +457,7 @@
   if (now - m_lastHeartbeatAt >= m_settings.heartbeats.interval)
     sendScheduledHeartbeats(now);
   else
-    reportFreeSlots(now);
+    advertiseFreePlaces(now);
   if (now - m_lastPlatformHeartbeatAt >= m_settings.platformHeartbeatInterval) {
     m_lastPlatformHeartbeatAt = now;
     for (const auto& [shard, token] : m_shards.held())
@@ -469,8 +470,8 @@
 void
 EntryCore::beat(TimePoint now)
 {
-  m_lastSlotReportAt = now;
-  m_reportedPlaces = sparePlaces(now);
+  m_lastPlacesUpdateAt = now;
+  m_advertisedPlaces = sparePlaces(now);
   const std::set<VmId> up = m_links.up();
   sendHeartbeats({ up.begin(), up.end() }, now);
 }
@@ -484,8 +485,8 @@
   m_lastHeartbeatAt = now;
   const auto due = m_heartbeats.due(m_links.up(), m_closePeers, now);
   if (m_heartbeats.sendsToEachPeer()) {
-    m_lastSlotReportAt = now;
-    m_reportedPlaces = sparePlaces(now);
+    m_lastPlacesUpdateAt = now;
+    m_advertisedPlaces = sparePlaces(now);
   }
   sendHeartbeats(due, now);
 }
@@ -531,24 +532,24 @@
   m_links.setClose(vm, true);
 }
 
-/// Sends a heartbeat to the other holders early when the number of free slots
+/// Sends a heartbeat to the other holders early when the number of free places
 /// has changed by a quarter or more.
 void
-EntryCore::reportFreeSlots(TimePoint now)
+EntryCore::advertiseFreePlaces(TimePoint now)
 {
-  const Duration since = now - m_lastSlotReportAt;
-  if (m_shards.held().empty() || since < slotReportInterval)
+  const Duration since = now - m_lastPlacesUpdateAt;
+  if (m_shards.held().empty() || since < placesUpdateInterval)
     return;
   const std::set<VmId> holders = m_shards.holders();
-  if (since < slotReportIntervalPerHolder * holders.size())
+  if (since < placesUpdateIntervalPerHolder * holders.size())
     return;
   const unsigned places = sparePlaces(now);
   const unsigned change =
-    std::max(places, m_reportedPlaces) - std::min(places, m_reportedPlaces);
-  if (change * minPlacesChangeDivisor < std::max(places, m_reportedPlaces))
+    std::max(places, m_advertisedPlaces) - std::min(places, m_advertisedPlaces);
+  if (change * minPlacesChangeDivisor < std::max(places, m_advertisedPlaces))
     return;
-  m_lastSlotReportAt = now;
-  m_reportedPlaces = places;
+  m_lastPlacesUpdateAt = now;
+  m_advertisedPlaces = places;
   std::vector<VmId> others;
   for (const VmId& vm : holders) {
     if (vm != m_settings.vm)
@@ -566,16 +567,17 @@
   return places;
 }
 
-/// Checks for overload: ticks that come late for some time mean that this
+/// Checks for CPU starvation: ticks that come late for some time mean that this
 /// process gets too little processor time.
 void
-EntryCore::updateOverload(TimePoint now)
+EntryCore::updateCpuStarvation(TimePoint now)
 {
-  if (m_overload.ticked(now))
-    logDecision(LogLevel::Info,
-                m_overload.isStrained() ? "strained" : "strain-over",
-                { { "latenessMs", toMilliseconds(m_overload.lateness()) } });
-  m_shards.setStrained(m_overload.isStrained());
+  if (m_cpuStarvation.ticked(now))
+    logDecision(
+      LogLevel::Info,
+      m_cpuStarvation.isStrained() ? "strained" : "strain-over",
+      { { "latenessMs", toMilliseconds(m_cpuStarvation.lateness()) } });
+  m_shards.setStrained(m_cpuStarvation.isStrained());
 }
 
 /// Asks the workers of zones without a reachable daemon whether any daemon
@@ -607,7 +609,7 @@
     beat.shards[shard] = { token,
                            m_scheduler.sparePlaces(shard, now),
                            m_scheduler.digest(shard) };
-  beat.isStrained = m_overload.isStrained();
+  beat.isStrained = m_cpuStarvation.isStrained();
   beat.isNew = m_shards.isNew(now);
   beat.slowness = m_settings.slowness;
   beat.carried = carriedWorkers(m_settings.limits);
@@ -689,7 +691,7 @@
     m_links.send(
       vm, PeerRecalled{ recall->job, m_gateway.recall(vm, *recall, now) });
   else if (const auto* recalled = std::get_if<PeerRecalled>(&message))
-    stopReplyReceived(vm, *recalled, now);
+    recallAcknowledged(vm, *recalled, now);
   else if (const auto* news = std::get_if<PeerWorkerNews>(&message))
     m_ports.workerNews(*news);
   else
@@ -780,8 +782,9 @@
 
 /// Whether this daemon knows which jobs are in progress at the peers. If it
 /// hasn't heard from all peers since its start or a pause, it may have missed
-/// reports of theirs, and they may have missed its own. If all daemons have
-/// just started, as after a loss of the whole group, there are no such jobs.
+/// advertisements of theirs, and they may have missed its own. If all daemons
+/// have just started, as after a loss of the whole group, there are no such
+/// jobs.
 bool
 EntryCore::havePeersReported(TimePoint now) const
 {
@@ -818,17 +821,17 @@
 /// group that is too large for a heartbeat to each peer in each interval, only
 /// the peers that share jobs with this daemon count.
 TimePoint
-EntryCore::allReportedUntil() const
+EntryCore::allAdvertisedUntil() const
 {
-  TimePoint reportedUntil = TimePoint::max();
+  TimePoint advertisedUntil = TimePoint::max();
   const TimePoint now = m_clocks.steady();
   if (!havePeersReported(now) || isCutOff(now))
     return TimePoint();
   for (const VmId& vm : m_links.up()) {
     if (m_heartbeats.sendsToEachPeer() || m_closePeers.count(vm) > 0)
-      reportedUntil = std::min(reportedUntil, m_peerContact.toldUntil(vm));
+      advertisedUntil = std::min(advertisedUntil, m_peerContact.toldUntil(vm));
   }
-  return reportedUntil;
+  return advertisedUntil;
 }
 
 /// Acknowledges the heartbeats of holders that have this daemon's jobs, which
@@ -914,9 +917,9 @@
 }
 
 void
-EntryCore::stopReplyReceived(const VmId& vm,
-                             const PeerRecalled& recalled,
-                             TimePoint now)
+EntryCore::recallAcknowledged(const VmId& vm,
+                              const PeerRecalled& recalled,
+                              TimePoint now)
 {
   if (recalled.overIn == Duration::zero())
     m_knownJobs.over(vm, recalled.job);
@@ -982,7 +985,7 @@
 }
 
 void
-EntryCore::confirmReportedAt(const VmId& vm, const JobKey& key)
+EntryCore::confirmAdvertisedAt(const VmId& vm, const JobKey& key)
 {
   if (vm == m_settings.vm)
     m_scheduler.keep(key, m_clocks.steady());
--- a/src/libentry/entrycore.h
+++ b/src/libentry/entrycore.h
@@ -47,7 +47,7 @@
     /// it can hold.
     MachineLimits limits;
     /// A daemon that is short of processor time releases its shards to others.
-    StrainMeter::Settings overload;
+    StrainMeter::Settings cpuStarvation;
     Scheduler::Settings scheduler;
     ShardTable::Settings shards;
     Gateway::Settings gateway;
@@ -61,7 +61,7 @@
     /// How long after a pause the pending messages are read before any task is
     /// started.
     Duration resumeDelay = std::chrono::milliseconds(60);
-    /// How long after the start callers' jobs wait for the peers to report
+    /// How long after the start callers' jobs wait for the peers to advertise
     /// which jobs are in progress there.
     Duration peerReportWait = std::chrono::milliseconds(600);
     /// For this long after the start, a daemon that reaches fewer than half of
@@ -229,14 +229,14 @@
   void handlePause(TimePoint now, Duration gap);
   void beat(TimePoint now);
   void sendScheduledHeartbeats(TimePoint now);
-  void reportFreeSlots(TimePoint now);
+  void advertiseFreePlaces(TimePoint now);
   void sendHeartbeats(const std::vector<VmId>& vms, TimePoint now);
   PeerBeat makeHeartbeat(TimePoint now) const;
   void updateClosePeers();
   void addClosePeer(const VmId& vm);
-  void stopReplyReceived(const VmId& vm,
-                         const PeerRecalled& recalled,
-                         TimePoint now);
+  void recallAcknowledged(const VmId& vm,
+                          const PeerRecalled& recalled,
+                          TimePoint now);
   void recordLoss(const VmId& vm, PeerLoss loss, TimePoint now);
   void logPeerLost(const VmId& vm, PeerLoss loss, TimePoint now);
   void applyShardDecisions(TimePoint now);
@@ -254,13 +254,13 @@
   void unresolvedReceived(const PeerUnresolvedStarts& message, TimePoint now);
   bool havePeersReported(TimePoint now) const;
   bool isCutOff(TimePoint now) const;
-  TimePoint allReportedUntil() const;
+  TimePoint allAdvertisedUntil() const;
   std::optional<KnownJobs::Place> underWayAt(const JobId& job) const;
-  void confirmReportedAt(const VmId& vm, const JobKey& key);
+  void confirmAdvertisedAt(const VmId& vm, const JobKey& key);
   void jobEnded(const JobKey& key, const JobEnd& end);
   void tasksReturned(const JobKey& key, const TasksReturned& returned);
   unsigned sparePlaces(TimePoint now) const;
-  void updateOverload(TimePoint now);
+  void updateCpuStarvation(TimePoint now);
   void probeOrphans(TimePoint now);
   void updateWorkerList(TimePoint now);
   void applyShardDivision(TimePoint now);
@@ -286,7 +286,7 @@
   PeerContact m_peerContact;
   KnownJobs m_knownJobs;
   MemberLosses m_losses;
-  /// After the start or a pause, the time by which all peers have reported
+  /// After the start or a pause, the time by which all peers have advertised
   /// their jobs to this daemon.
   TimePoint m_peersReportedAt;
   /// After the start, the time by which this daemon has found all daemons that
@@ -297,7 +297,7 @@
   VacancyProbe m_vacancyProbe;
   DirectoryReaders m_directoryReaders;
   bool m_isDirectoryReader = true;
-  StrainMeter m_overload;
+  StrainMeter m_cpuStarvation;
   HeartbeatPlan m_heartbeats;
   /// Peers that have jobs of this daemon, or whose jobs this daemon has.
   std::set<VmId> m_closePeers;
@@ -309,8 +309,8 @@
   /// When a message of each peer was last read.
   std::map<VmId, TimePoint> m_lastReadAt;
   TimePoint m_lastHeartbeatAt{};
-  TimePoint m_lastSlotReportAt{};
-  unsigned m_reportedPlaces = 0;
+  TimePoint m_lastPlacesUpdateAt{};
+  unsigned m_advertisedPlaces = 0;
   TimePoint m_lastPlatformHeartbeatAt{};
   std::chrono::nanoseconds m_lastBootTime{};
   std::optional<TimePoint> m_resumeAt;
--- a/src/libentry/entrydaemon.cpp
+++ b/src/libentry/entrydaemon.cpp
@@ -170,7 +170,7 @@
 void
 EntryDaemon::tickLater()
 {
-  m_timer.expires_after(m_settings.core.overload.tickInterval);
+  m_timer.expires_after(m_settings.core.cpuStarvation.tickInterval);
   m_timer.async_wait([this](boost::system::error_code error) {
     if (error)
       return;
--- a/src/libentry/gateway.cpp
+++ b/src/libentry/gateway.cpp
@@ -35,7 +35,7 @@
     std::max(now, now - submission.unreadFor + m_settings.tellAfter);
   entry.callers[callerId] = std::move(done);
   entry.submission = std::move(submission);
-  entry.exclusiveUntil = exclusiveUntilIfUnreported(entry);
+  entry.exclusiveUntil = exclusiveUntilIfUnadvertised(entry);
   m_numberByJob[entry.submission.job] = number;
   m_jobByCaller[callerId] = number;
   Part& part = addPart(entry);
@@ -46,7 +46,7 @@
 }
 
 /// Submits a job unless runs of an earlier submission may go on. In that case,
-/// holds the job or asks the daemon that has the earlier submission to stop it.
+/// holds the job or recalls the earlier submission from the daemon that has it.
 void
 Gateway::begin(Entry& entry, TimePoint now)
 {
@@ -66,9 +66,9 @@
     return;
   }
   entry.heldUntil.reset();
-  entry.stopRequestedFrom = place->daemon;
-  entry.stopRequestedAt = now;
-  requestStop(*place->daemon, entry, now);
+  entry.recallSentTo = place->daemon;
+  entry.recallSentAt = now;
+  sendRecall(*place->daemon, entry, now);
 }
 
 /// Holds a job until all runs of an earlier submission have ended. Ends the job
@@ -82,7 +82,7 @@
                 { { "job", entry.submission.job },
                   { "forMs", toMilliseconds(until - now) },
                   { "ageMs", toMilliseconds(now - entry.arrivedAt) } });
-  entry.stopRequestedFrom.reset();
+  entry.recallSentTo.reset();
   entry.heldUntil = until;
   if (until + entry.submission.needs.estimate >= entry.expiresAt)
     finish(entry,
@@ -95,9 +95,9 @@
 void
 Gateway::placeUnassignedParts(Entry& entry, TimePoint now)
 {
-  entry.stopRequestedFrom.reset();
+  entry.recallSentTo.reset();
   entry.heldUntil.reset();
-  if (!entry.isReported && now > entry.exclusiveUntil - exclusiveStartMargin)
+  if (!entry.isAdvertised && now > entry.exclusiveUntil - exclusiveStartMargin)
     return;
   const std::uint64_t number = entry.number;
   std::vector<std::uint64_t> parts;
@@ -195,7 +195,7 @@
 {
   std::vector<Entry*> recalled;
   for (auto& [number, entry] : m_jobs) {
-    if (entry.stopRequestedFrom == vm)
+    if (entry.recallSentTo == vm)
       recalled.push_back(&entry);
     for (auto& [id, part] : entry.parts) {
       if (part.holder != vm)
@@ -226,7 +226,7 @@
 {
   for (auto job = m_abandoned.begin(); job != m_abandoned.end();)
     job = now >= job->second ? m_abandoned.erase(job) : std::next(job);
-  markReportedJobs(now);
+  markAdvertisedJobs(now);
   std::vector<std::uint64_t> numbers;
   for (const auto& [number, entry] : m_jobs)
     numbers.push_back(number);
@@ -237,19 +237,19 @@
       finish(entry,
              { JobAnswer::Kind::Unknown, Duration::zero(), "out of time" },
              now);
-    } else if (!entry.isReported && now >= unreportedDeadline(entry)) {
-      endUnreported(entry, now);
+    } else if (!entry.isAdvertised && now >= unadvertisedDeadline(entry)) {
+      endUnadvertised(entry, now);
     } else if (isRetryDue(entry, now)) {
       begin(entry, now);
-    } else if (!entry.heldUntil && !entry.stopRequestedFrom) {
+    } else if (!entry.heldUntil && !entry.recallSentTo) {
       placeUnassignedParts(entry, now);
     }
   }
 }
 
-/// Marks jobs as reported once all peers have received the report.
+/// Marks jobs as advertised once all peers have received the advertisement.
 void
-Gateway::markReportedJobs(TimePoint now)
+Gateway::markAdvertisedJobs(TimePoint now)
 {
   if (!hasUntoldJobs(now))
     return;
@@ -257,16 +257,16 @@
   for (auto& [number, entry] : m_jobs) {
     const bool isExclusivityOver =
       mayHaveRuns(entry) && now >= entry.exclusiveUntil;
-    if (!entry.isReported && !isExclusivityOver &&
+    if (!entry.isAdvertised && !isExclusivityOver &&
         now >= entry.longRunningFrom && toldUntil >= entry.longRunningFrom)
-      markReported(entry);
+      markAdvertised(entry);
   }
 }
 
 void
-Gateway::markReported(Entry& entry)
+Gateway::markAdvertised(Entry& entry)
 {
-  entry.isReported = true;
+  entry.isAdvertised = true;
   for (const auto& [id, part] : entry.parts) {
     if (part.holder)
       m_hooks.keep(*part.holder, part.key);
@@ -292,7 +292,7 @@
 Gateway::hasUntoldJobs(TimePoint now) const
 {
   return std::any_of(m_jobs.begin(), m_jobs.end(), [now](const auto& item) {
-    return !item.second.isReported && now >= item.second.longRunningFrom;
+    return !item.second.isAdvertised && now >= item.second.longRunningFrom;
   });
 }
 
@@ -300,11 +300,11 @@
 Gateway::tellAnew(TimePoint exclusiveUntil)
 {
   for (auto& [number, entry] : m_jobs) {
-    if (entry.isReported)
+    if (entry.isAdvertised)
       entry.exclusiveUntil = exclusiveUntil;
-    entry.isReported = false;
+    entry.isAdvertised = false;
     entry.exclusiveUntil =
-      std::max(exclusiveUntilIfUnreported(entry),
+      std::max(exclusiveUntilIfUnadvertised(entry),
                std::min(entry.exclusiveUntil, exclusiveUntil));
   }
 }
@@ -317,13 +317,13 @@
     if (known == m_numberByJob.end())
       continue;
     const Entry& entry = m_jobs.at(known->second);
-    if (!entry.stopRequestedFrom && ageOf(entry, now) < other.age)
-      requestStop(from, entry, now);
+    if (!entry.recallSentTo && ageOf(entry, now) < other.age)
+      sendRecall(from, entry, now);
   }
 }
 
 void
-Gateway::requestStop(const VmId& vm, const Entry& entry, TimePoint now)
+Gateway::sendRecall(const VmId& vm, const Entry& entry, TimePoint now)
 {
   logDecision(LogLevel::Info,
               "job-submitted-again",
@@ -345,13 +345,13 @@
 {
   if (entry.heldUntil)
     return now >= *entry.heldUntil;
-  return entry.stopRequestedFrom &&
-         now - entry.stopRequestedAt >= m_settings.stopRequestRetryInterval;
+  return entry.recallSentTo &&
+         now - entry.recallSentAt >= m_settings.recallRetryInterval;
 }
 
-/// Until when a job that isn't reported to any peer is exclusive.
+/// Until when a job that isn't advertised to any peer is exclusive.
 TimePoint
-Gateway::exclusiveUntilIfUnreported(const Entry& entry)
+Gateway::exclusiveUntilIfUnadvertised(const Entry& entry)
 {
   return entry.arrivedAt - entry.submission.unreadFor + wantedRunLimit;
 }
@@ -367,18 +367,18 @@
            });
 }
 
-/// The time at which a job ends if it hasn't been reported to the peers.
+/// The time at which a job ends if it hasn't been advertised to the peers.
 TimePoint
-Gateway::unreportedDeadline(const Entry& entry) const
+Gateway::unadvertisedDeadline(const Entry& entry) const
 {
   const TimePoint end = entry.exclusiveUntil - m_settings.untoldMargin;
   return mayHaveRuns(entry)
            ? end
-           : std::max(end, entry.longRunningFrom + m_settings.reportTimeout);
+           : std::max(end, entry.longRunningFrom + m_settings.advertiseLimit);
 }
 
 void
-Gateway::endUnreported(Entry& entry, TimePoint now)
+Gateway::endUnadvertised(Entry& entry, TimePoint now)
 {
   const char* reason = "other daemons can't be told where the job is under way";
   logCallers("job-untold", entry, now);
@@ -406,7 +406,7 @@
                 { { "job", recall.job },
                   { "by", from },
                   { "ageMs", toMilliseconds(now - entry.arrivedAt) } });
-    if (entry.stopRequestedFrom)
+    if (entry.recallSentTo)
       overIn = m_settings.lostRunLimit;
     else if (entry.heldUntil)
       overIn = *entry.heldUntil - now;
@@ -432,7 +432,7 @@
   if (known == m_numberByJob.end())
     return;
   Entry& entry = m_jobs.at(known->second);
-  if (entry.stopRequestedFrom != from)
+  if (entry.recallSentTo != from)
     return;
   if (overIn > Duration::zero())
     hold(entry, now + overIn, now);
@@ -512,9 +512,9 @@
 }
 
 /// A job that is refused as a whole has not run. Another shard may have free
-/// slots, because load and workers are spread unevenly over the zones. So the
-/// caller is refused only when the shards with the most free slots have been
-/// asked and no other one advertises free slots. A refused part of a split job
+/// places, because load and workers are spread unevenly over the zones. So the
+/// caller is refused only when the shards with the most free places have been
+/// asked and no other one advertises free places. A refused part of a split job
 /// goes back to a holder in the job's own zone, which has to queue it.
 void
 Gateway::partRefused(Entry& entry, Part& part, const JobEnd& end, TimePoint now)
@@ -648,11 +648,11 @@
   request.crashes = part.crashes;
   request.age = now - entry.arrivedAt;
   request.timeLeft = entry.expiresAt - now;
-  if (!entry.isReported)
+  if (!entry.isAdvertised)
     request.exclusiveFor = entry.exclusiveUntil - now;
   request.mayBeReturned = part.mayBeReturned;
   request.shard = shard;
-  // A holder that was named for its free slots may refuse. Any other holder
+  // A holder that was named for its free places may refuse. Any other holder
   // queues the part of a split job.
   const bool mayRefuse = !entry.isSplit || part.isSuggested;
   request.mayHaveRun = part.orphanedAt || !mayRefuse;
--- a/src/libentry/gateway.h
+++ b/src/libentry/gateway.h
@@ -63,9 +63,9 @@
 ///
 /// A caller whose connection breaks submits its job again 1,300 ms later, at
 /// any daemon; this daemon may learn of the broken connection late or never. So
-/// a job either ends before that time, or this daemon reports it to its peers
-/// as in progress here. A peer that receives the job again then asks this
-/// daemon to stop the earlier submission.
+/// a job either ends before that time, or this daemon advertises it to its
+/// peers as in progress here. A peer that receives the job again then recalls
+/// it: it asks this daemon to stop the earlier submission.
 class Gateway
 {
 public:
@@ -75,7 +75,7 @@
     /// ideal response time.
     double holderWaitShare = 0.25;
     /// How many shards may refuse a job before it is refused to the caller.
-    /// Shards whose holder advertises free slots are asked beyond this limit.
+    /// Shards whose holder advertises free places are asked beyond this limit.
     /// The load is highest when jobs are refused: asking every one of many
     /// shards, at some 700 bytes each, took more of the network links than the
     /// jobs that were served.
@@ -87,19 +87,19 @@
     /// Retry delay given to a caller while all zones are evacuated, which takes
     /// seconds at least.
     Duration evacuatedRetryAfter = std::chrono::seconds(2);
-    /// Jobs that have been in progress for this long are reported to the peers.
-    /// Most jobs end earlier.
+    /// Jobs that have been in progress for this long are advertised to the
+    /// peers. Most jobs end earlier.
     Duration tellAfter = std::chrono::milliseconds(450);
-    /// A job that can't be reported to the peers ends this long before its
+    /// A job that can't be advertised to the peers ends this long before its
     /// caller may have submitted it again, because its holder has to be told to
     /// stop it.
     Duration untoldMargin = std::chrono::milliseconds(90);
-    /// A job of which no task was started is refused if it can't be reported to
-    /// the peers for this long.
-    Duration reportTimeout = std::chrono::milliseconds(500);
-    /// A stop request that gets no answer is repeated after this time: it may
+    /// A job of which no task was started is refused if it can't be advertised
+    /// to the peers for this long.
+    Duration advertiseLimit = std::chrono::milliseconds(500);
+    /// A recall that gets no answer is repeated after this time, because it may
     /// have been lost with its connection.
-    Duration stopRequestRetryInterval = std::chrono::milliseconds(150);
+    Duration recallRetryInterval = std::chrono::milliseconds(150);
   };
 
   /// Functions of the daemon that the gateway calls. None may be empty.
@@ -110,7 +110,7 @@
     /// workers.
     std::function<std::optional<HolderChoice>(const ShardId&)> nextHolder;
     /// Chooses a holder for a new job among the shards that haven't refused it.
-    /// Prefers this daemon's zone, then free slots.
+    /// Prefers this daemon's zone, then free places.
     std::function<std::optional<HolderChoice>(
       const std::set<ShardId>& refusedBy)>
       bestHolder;
@@ -128,13 +128,13 @@
     /// Tells a holder that the peers know where the job is in progress, so that
     /// the holder needn't stop it when `JobRequest::exclusiveFor` runs out.
     std::function<void(const VmId&, const JobKey&)> keep;
-    /// The time, by this daemon's clock, of the newest `longJobs` report that
-    /// has reached every daemon where callers may submit a job again.
+    /// The time, by this daemon's clock, of the newest `longJobs` advertisement
+    /// that has reached every daemon where callers may submit a job again.
     std::function<TimePoint()> toldUntil;
     /// Where a job is in progress for a caller of another daemon, or was when
     /// that daemon was lost.
     std::function<std::optional<KnownJobs::Place>(const JobId&)> underWayAt;
-    /// Asks a daemon to stop an earlier submission of a job.
+    /// Recalls a job: asks a daemon to stop its earlier submission of that job.
     std::function<void(const VmId&, const PeerRecall&)> recall;
   };
 
@@ -156,35 +156,35 @@
              const JobKey& key,
              const JobEnd& end,
              TimePoint now);
-  /// A holder returns tasks for which it has no free slots. It may name another
-  /// holder that has some.
+  /// A holder returns tasks for which it has no free places. It may name
+  /// another holder that has some.
   void returned(const VmId& from,
                 const JobKey& key,
                 const TasksReturned& returned,
                 TimePoint now);
   /// A daemon can no longer be reached. The parts that it had fail over.
   void daemonLost(const VmId& vm, TimePoint now);
-  /// The jobs to report to the peers: those that have been in progress for
+  /// The jobs to advertise to the peers: those that have been in progress for
   /// `tellAfter`, and abandoned ones whose runs may still be stopping.
   std::vector<LongJob> longJobs(TimePoint now) const;
-  /// A peer reports its own long-running jobs. If one is in progress here too
-  /// and the peer's submission is the older one, the peer is asked to stop it,
-  /// because its caller has left it.
+  /// A peer advertises its own long-running jobs. If one is in progress here
+  /// too and the peer's submission is the older one, it is recalled from the
+  /// peer, because its caller has left that peer.
   void told(const VmId& from, const std::vector<LongJob>& jobs, TimePoint now);
-  /// Whether any long-running job has yet to be reported to some peer.
+  /// Whether any long-running job has yet to be advertised to some peer.
   bool hasUntoldJobs(TimePoint now) const;
-  /// A peer has received a job again that is in progress here, and asks to stop
-  /// it. Stops the submission here unless it is the later one. Returns how long
-  /// the runs of the job may go on.
+  /// A peer recalls a job from here, because it has received the job again.
+  /// Stops the submission here unless it is the later one. Returns how long the
+  /// runs of the job may go on.
   Duration recall(const VmId& from, const PeerRecall& recall, TimePoint now);
-  /// A daemon answers a stop request: its runs of the job end within `overIn`.
+  /// A daemon acknowledges a recall: its runs of the job end within `overIn`.
   void recalled(const VmId& from,
                 const JobId& job,
                 Duration overIn,
                 TimePoint now);
-  /// Treats all jobs as not yet reported, because the peers may have lost the
-  /// reports. Those jobs are exclusive until the given time at the latest
-  /// unless they are reported again.
+  /// Treats all jobs as not yet advertised, because the peers may have lost the
+  /// advertisements. The jobs that had been advertised stop being exclusive at
+  /// the given time unless they are advertised again.
   void tellAnew(TimePoint exclusiveUntil);
   /// Looks for holders and ends jobs that have run out of time. To be called
   /// every 20 ms, and when a shard has changed its holder.
@@ -226,7 +226,7 @@
     /// The part was submitted to a holder that another holder named. This one
     /// may refuse it.
     bool isSuggested = false;
-    /// Shards whose holders refused the part for lack of free slots, and the
+    /// Shards whose holders refused the part for lack of free places, and the
     /// shortest time after which one of them expects some.
     std::set<ShardId> refusedBy;
     Duration retryAfter = Duration::max();
@@ -246,14 +246,14 @@
     /// Until this time the job is exclusive: its caller can't have submitted it
     /// again at a daemon that doesn't know where it is in progress.
     TimePoint exclusiveUntil{};
-    /// When the job counts as long-running, and whether it has been reported to
-    /// the peers since.
+    /// When the job counts as long-running, and whether it has been advertised
+    /// to the peers since.
     TimePoint longRunningFrom{};
-    bool isReported = false;
-    /// The peer that was asked to stop an earlier submission of the job and
-    /// hasn't answered yet, and when it was last asked.
-    std::optional<VmId> stopRequestedFrom;
-    TimePoint stopRequestedAt{};
+    bool isAdvertised = false;
+    /// The peer from which an earlier submission of the job was recalled and
+    /// that hasn't acknowledged it yet, and when the last recall was sent.
+    std::optional<VmId> recallSentTo;
+    TimePoint recallSentAt{};
     /// Nothing is submitted until then, because runs of an earlier submission
     /// may go on. Unset otherwise.
     std::optional<TimePoint> heldUntil;
@@ -268,15 +268,15 @@
   void begin(Entry& entry, TimePoint now);
   void hold(Entry& entry, TimePoint until, TimePoint now);
   void placeUnassignedParts(Entry& entry, TimePoint now);
-  void requestStop(const VmId& vm, const Entry& entry, TimePoint now);
+  void sendRecall(const VmId& vm, const Entry& entry, TimePoint now);
   bool isRetryDue(const Entry& entry, TimePoint now) const;
   static Duration ageOf(const Entry& entry, TimePoint now);
-  static TimePoint exclusiveUntilIfUnreported(const Entry& entry);
+  static TimePoint exclusiveUntilIfUnadvertised(const Entry& entry);
   static bool mayHaveRuns(const Entry& entry);
-  TimePoint unreportedDeadline(const Entry& entry) const;
-  void endUnreported(Entry& entry, TimePoint now);
-  void markReportedJobs(TimePoint now);
-  void markReported(Entry& entry);
+  TimePoint unadvertisedDeadline(const Entry& entry) const;
+  void endUnadvertised(Entry& entry, TimePoint now);
+  void markAdvertisedJobs(TimePoint now);
+  void markAdvertised(Entry& entry);
   void markOrphaned(Part& part, TimePoint now) const;
   void partCompleted(Entry& entry, Part& part, TimePoint now);
   void partRefused(Entry& entry, Part& part, const JobEnd& end, TimePoint now);
--- a/src/libentry/knownjobs.h
+++ b/src/libentry/knownjobs.h
@@ -12,9 +12,9 @@
 
 namespace cowslippin {
 
-/// The long-running jobs that peers report as in progress for their callers. A
-/// caller whose connection has broken may submit its job again here before the
-/// other daemon notices that the caller is gone. The class does no I/O and
+/// The long-running jobs that peers advertise as in progress for their callers.
+/// A caller whose connection has broken may submit its job again here before
+/// the other daemon notices that the caller is gone. The class does no I/O and
 /// reads no clock.
 class KnownJobs
 {
@@ -35,8 +35,8 @@
     friend bool operator!=(const Place& a, const Place& b) { return !(a == b); }
   };
 
-  /// A peer reports all its long-running jobs. Jobs that it reported before and
-  /// that are missing now have ended.
+  /// A peer advertises all its long-running jobs. Jobs that it advertised
+  /// before and that are missing now have ended.
   void told(const VmId& vm, const std::vector<LongJob>& jobs, TimePoint now);
   /// A peer has no runs of a job any more.
   void over(const VmId& vm, const JobId& job);
--- a/src/libentry/peercontact.cpp
+++ b/src/libentry/peercontact.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Minimum time between two acknowledgements. Holders send heartbeats more
-/// often than this when their free slots change.
+/// often than this when their free places change.
 constexpr Duration acknowledgementInterval = std::chrono::milliseconds(120);
 /// When the last contact is older than this, a heartbeat is sent out of turn:
 /// in a large group the peer's turn may be a long time off.
--- a/src/libentry/peerreports.h
+++ b/src/libentry/peerreports.h
@@ -16,7 +16,7 @@
 
   void received(const VmId& vm, const PeerBeat& beat, TimePoint now);
 
-  /// Free slots of a shard by its holder's last report; 0 if the peer didn't
+  /// Free places of a shard by its holder's last report; 0 if the peer didn't
   /// report the shard.
   unsigned places(const VmId& holder, const ShardId& shard) const;
 
--- a/src/libentry/strainmeter.cpp
+++ b/src/libentry/strainmeter.cpp
@@ -25,10 +25,10 @@
     m_lateness = Duration(static_cast<Duration::rep>(mean));
   }
   m_lastTickAt = now;
-  const bool wasStrained = m_isStrained;
-  m_isStrained = m_lateness > (wasStrained ? m_settings.recoveryLateness
-                                           : m_settings.overloadLateness);
-  return m_isStrained != wasStrained;
+  const bool wasCpuStarved = m_isStrained;
+  m_isStrained = m_lateness > (wasCpuStarved ? m_settings.recoveryLateness
+                                             : m_settings.starvedLateness);
+  return m_isStrained != wasCpuStarved;
 }
 
 } // namespace cowslippin
--- a/src/libentry/strainmeter.h
+++ b/src/libentry/strainmeter.h
@@ -6,8 +6,8 @@
 
 namespace cowslippin {
 
-/// Detects overload: tells by the lateness of its ticks whether this process
-/// gets too little processor time for its work.
+/// Detects CPU starvation: tells by the lateness of its ticks whether this
+/// process gets too little processor time for its work.
 class StrainMeter
 {
 public:
@@ -15,11 +15,11 @@
   {
     /// Time between two ticks.
     Duration tickInterval = std::chrono::milliseconds(20);
-    /// The process counts as overloaded when the mean lateness of ticks rises
+    /// The process counts as CPU-starved when the mean lateness of ticks rises
     /// above the first value, until the mean falls to the second one. For
     /// comparison, the silence limit between daemons is 450 ms, and a heartbeat
     /// is sent every 140 ms.
-    Duration overloadLateness = std::chrono::milliseconds(60);
+    Duration starvedLateness = std::chrono::milliseconds(60);
     Duration recoveryLateness = std::chrono::milliseconds(15);
   };
 
