--- a/src/libentry/gateway.h
+++ b/src/libentry/gateway.h
@@ -57,9 +57,9 @@
 
 /// The jobs whose callers wait for an answer from this daemon. The gateway
 /// submits each job to a holder, which is a daemon that leases the workers of a
-/// shard. When the holder is lost, the gateway fails over to another one and
-/// makes sure that no task runs twice at the same time. It does no I/O and
-/// reads no clock.
+/// shard, a part of the workers of an availability zone. When the holder is
+/// lost, the gateway fails over to another one and makes sure that no task runs
+/// twice at the same time. It does no I/O and reads no clock.
 ///
 /// A caller whose connection breaks submits its job again 1,300 ms later, at
 /// any daemon; this daemon may learn of the broken connection late or never. So
@@ -80,6 +80,7 @@
     /// shards, at some 700 bytes each, took more of the network links than the
     /// jobs that were served.
     std::size_t mostAsked = 4;
+    /// How long orphaned runs of a lost daemon may go on.
     Duration lostRunLimit = cowslippin::lostRunLimit;
     /// Retry delay given to a caller whose job is refused because no daemon
     /// holds workers.
