--- a/src/libentry/configurationsource.cpp
+++ b/src/libentry/configurationsource.cpp
@@ -65,19 +65,20 @@
   }
 }
 
-/// The part that was asked for, or the first one of another version.
+/// The requested part, or the first part of the receiver's version if another
+/// version was requested.
 PeerConfigPart
 ConfigurationSource::makePart(const Version& version,
                               const PeerConfigRequest& request) const
 {
-  const bool goesOn =
+  const bool continuesTransfer =
     request.version == version.number && request.offset < version.body->size();
   const std::uint64_t bytes = std::clamp(
     request.maxBytes, m_settings.minPartBytes, m_settings.maxPartBytes);
   PeerConfigPart part;
   part.version = version.number;
   part.size = version.body->size();
-  part.offset = goesOn ? request.offset : 0;
+  part.offset = continuesTransfer ? request.offset : 0;
   part.bytes = version.body->substr(part.offset, bytes);
   return part;
 }
--- a/src/libentry/entrycore.cpp
+++ b/src/libentry/entrycore.cpp
@@ -11,20 +11,25 @@
 
 namespace {
 
-/// Between two messages about free places to other holders, at least.
-constexpr Duration placesInterval = std::chrono::milliseconds(30);
-/// The same for each holder that is told, so that what it costs a daemon
+/// Minimum time between two messages to other holders about free places.
+constexpr Duration placesUpdateInterval = std::chrono::milliseconds(30);
+/// The same per holder that receives the message, so that the cost for a daemon
 /// doesn't grow with the group.
-constexpr Duration placesIntervalEach = std::chrono::milliseconds(10);
-/// How much earlier than the platform kills it a daemon exits by itself.
+constexpr Duration placesUpdateIntervalPerHolder =
+  std::chrono::milliseconds(10);
+/// Free places are advertised early when their number has changed by at least
+/// one part in this many.
+constexpr unsigned minPlacesChangeDivisor = 4;
+/// How long before the platform kills this process it exits by itself.
 constexpr Duration exitMargin = std::chrono::milliseconds(400);
-/// How long jobs that others have been told of go on in the smaller part of a
-/// group. This daemon notices within the silence limit of 450 ms that another
-/// one is gone, which may have ceased to hear this one as long before; this is
-/// what is left of `wantedRunLimit`.
-constexpr Duration cutOffLimit = std::chrono::milliseconds(340);
-/// How often it is checked whether all others have been heard.
-constexpr Duration informRetry = std::chrono::milliseconds(10);
+/// How long jobs that were advertised to the peers go on in the smaller part of
+/// a partitioned group. This daemon detects within the silence limit of 450 ms
+/// that a peer is gone, and that peer may have stopped receiving from this
+/// daemon 450 ms before that. These 340 ms are what is left of
+/// `wantedRunLimit`.
+constexpr Duration partitionedJobLimit = std::chrono::milliseconds(340);
+/// How often to check whether all peers have advertised their jobs.
+constexpr Duration peerReportPollInterval = std::chrono::milliseconds(10);
 
 ConfigurationSync::Settings
 configurationSettings(const EntryCore::Settings& settings)
@@ -49,24 +54,24 @@
   , m_scheduler(m_settings.vm, m_settings.scheduler, schedulerHooks())
   , m_gateway(m_settings.vm, m_settings.gateway, gatewayHooks())
   , m_configuration(configurationSettings(m_settings), configurationHooks())
-  , m_contact(m_clocks.steady())
-  , m_informedAt(m_clocks.steady() + m_settings.informTime)
-  , m_foundAllAt(m_clocks.steady() + m_settings.findTime)
-  , m_holders(m_settings.vm,
-              m_settings.zone,
-              { m_shards, m_scheduler, m_reports },
-              m_links.isUp)
+  , m_peerContact(m_clocks.steady())
+  , m_peersReportedAt(m_clocks.steady() + m_settings.peerReportWait)
+  , m_discoveryEndsAt(m_clocks.steady() + m_settings.discoveryTime)
+  , m_holderLookup(m_settings.vm,
+                   m_settings.zone,
+                   { m_shards, m_scheduler, m_peerReports },
+                   m_links.isUp)
   , m_tokens(m_clocks.timeOfDay, m_clocks.processNumber)
-  , m_vacancy(m_settings.vacancy, m_ports.hold)
-  , m_readers(m_settings.vm, m_settings.zone, m_settings.slowness)
-  , m_strain(m_settings.strain)
+  , m_vacancyProbe(m_settings.vacancyProbe, m_ports.hold)
+  , m_directoryReaders(m_settings.vm, m_settings.zone, m_settings.slowness)
+  , m_cpuStarvation(m_settings.cpuStarvation)
   , m_heartbeats(m_settings.heartbeats)
   , m_lastBootTime(m_clocks.sinceBoot())
   , m_grace(m_settings.grace)
 {
   m_shards.setSlowness(m_settings.slowness);
   m_shards.setCarried(carriedWorkers(m_settings.limits));
-  boundShards(m_clocks.steady());
+  updateShardSizes(m_clocks.steady());
 }
 
 void
@@ -91,7 +96,7 @@
 {
   m_shards.setReady(m_hasWorkers);
   if (m_hasWorkers)
-    listWorkers(m_clocks.steady());
+    updateWorkerList(m_clocks.steady());
 }
 
 void
@@ -101,13 +106,13 @@
   m_hasWorkers = true;
   m_shards.setReady(m_configuration.version() > 0);
   m_workers = workers;
-  listWorkers(now);
+  updateWorkerList(now);
 }
 
-/// Workers of a service that no queue uses aren't ours to hold: their entries
-/// may come from another writer.
+/// Keeps only the workers of services that a queue uses. Other entries may come
+/// from another writer, and their workers must not be leased.
 void
-EntryCore::listWorkers(TimePoint now)
+EntryCore::updateWorkerList(TimePoint now)
 {
   WorkerList used;
   for (const auto& [id, record] : m_workers) {
@@ -115,13 +120,13 @@
       used[id] = record;
   }
   m_scheduler.setList(used, now);
-  divisionRead(now);
+  applyShardDivision(now);
 }
 
-/// Gives up held shards that are no longer, since their zone's workers are
-/// divided anew.
+/// Releases held shards that no longer exist because the workers of their zone
+/// were divided anew.
 void
-EntryCore::divisionRead(TimePoint now)
+EntryCore::applyShardDivision(TimePoint now)
 {
   const std::set<ShardId> shards = m_scheduler.shards();
   m_shards.setShards(shards);
@@ -139,7 +144,7 @@
 void
 EntryCore::passOn(const PeerWorkerNews& news)
 {
-  m_links.sendToEach(m_readers.followers(m_shards.members()), news);
+  m_links.sendToEach(m_directoryReaders.followers(m_shards.members()), news);
 }
 
 void
@@ -148,7 +153,8 @@
   adoptEvacuations(evacuations, observeTime());
 }
 
-/// Others are told at once: what they hand to an evacuated zone comes back.
+/// Sends the change to the peers at once, because an evacuated zone returns the
+/// tasks that peers submit to it.
 void
 EntryCore::adoptEvacuations(const Evacuations& evacuations, TimePoint now)
 {
@@ -196,21 +202,22 @@
 bool
 EntryCore::isReady() const
 {
-  return !isLeaving() && m_configuration.version() > 0 && m_holders.hasAny();
+  return !isLeaving() && m_configuration.version() > 0 &&
+         m_holderLookup.hasReachableHolder();
 }
 
 Gateway::Ticket
 EntryCore::submit(JobSubmission submission, Gateway::Done done)
 {
   const TimePoint now = observeTime();
-  submission.unreadFor = now - m_contact.ownContact();
+  submission.unreadFor = now - m_peerContact.ownContact();
   return m_gateway.submit(std::move(submission), std::move(done), now);
 }
 
 void
-EntryCore::callerGone(Gateway::Ticket ticket)
+EntryCore::callerGone(Gateway::Ticket callerId)
 {
-  m_gateway.callerGone(ticket, observeTime());
+  m_gateway.callerGone(callerId, observeTime());
 }
 
 void
@@ -219,8 +226,8 @@
   if (isLeaving())
     return;
   const TimePoint now = observeTime();
-  m_leaveAt = now;
-  m_left = std::move(ended);
+  m_shutdownStartedAt = now;
+  m_onShutdownDone = std::move(ended);
   m_shards.setLeaving();
   beat(now);
 }
@@ -228,7 +235,8 @@
 bool
 EntryCore::acceptsCallers() const
 {
-  return !m_leaveAt || m_clocks.steady() - *m_leaveAt < m_settings.unreadyTime;
+  return !m_shutdownStartedAt ||
+         m_clocks.steady() - *m_shutdownStartedAt < m_settings.balancerDelay;
 }
 
 std::set<ShardId>
@@ -345,11 +353,11 @@
   };
   hooks.fenced = [this](const ShardId& shard) { m_fenced.insert(shard); };
   hooks.lastContact = [this](const VmId& vm) {
-    return vm == m_settings.vm ? m_contact.ownContact()
-                               : m_contact.lastContact(vm);
+    return vm == m_settings.vm ? m_peerContact.ownContact()
+                               : m_peerContact.lastContact(vm);
   };
   hooks.toldUntil = [this](const VmId& vm) {
-    return vm == m_settings.vm ? TimePoint::max() : m_contact.toldUntil(vm);
+    return vm == m_settings.vm ? TimePoint::max() : m_peerContact.toldUntil(vm);
   };
   return hooks;
 }
@@ -359,14 +367,14 @@
 {
   Gateway::Hooks hooks;
   hooks.nextHolder = [this](const ShardId& shard) {
-    return m_holders.next(shard, m_clocks.steady());
+    return m_holderLookup.next(shard, m_clocks.steady());
   };
   hooks.bestHolder = [this](const std::set<ShardId>& refusedBy) {
-    return m_holders.best(refusedBy, m_clocks.steady());
+    return m_holderLookup.best(refusedBy, m_clocks.steady());
   };
-  hooks.areAllEvacuated = [this] { return m_holders.areAllEvacuated(); };
+  hooks.areAllEvacuated = [this] { return m_holderLookup.areAllEvacuated(); };
   hooks.workers = [this](const VmId& vm, const ShardId& shard) {
-    return m_reports.workers(vm, shard);
+    return m_peerReports.workers(vm, shard);
   };
   hooks.submit = [this](const VmId& vm, const JobRequest& request) {
     return submitTo(vm, request);
@@ -374,8 +382,10 @@
   hooks.cancel = [this](const VmId& vm, const JobKey& key) {
     cancelAt(vm, key);
   };
-  hooks.keep = [this](const VmId& vm, const JobKey& key) { keepAt(vm, key); };
-  hooks.toldUntil = [this] { return allToldUntil(); };
+  hooks.keep = [this](const VmId& vm, const JobKey& key) {
+    confirmAdvertisedAt(vm, key);
+  };
+  hooks.toldUntil = [this] { return allAdvertisedUntil(); };
   hooks.underWayAt = [this](const JobId& job) { return underWayAt(job); };
   hooks.recall = [this](const VmId& vm, const PeerRecall& recall) {
     m_links.send(vm, recall);
@@ -389,12 +399,12 @@
   const TimePoint now = observeTime();
   m_lastReadAt[hello.vm] = now;
   m_losses.back(hello.vm);
-  m_reports.setZone(hello.vm, hello.zone);
+  m_peerReports.setZone(hello.vm, hello.zone);
   // The close flag is stored per connection, and one connection may replace
   // another without a reported loss.
-  m_links.setClose(hello.vm, m_close.count(hello.vm) > 0);
-  sendBeats({ hello.vm }, now);
-  tellUnresolved({ hello.vm }, m_scheduler.unresolvedStarts().all(), now);
+  m_links.setClose(hello.vm, m_closePeers.count(hello.vm) > 0);
+  sendHeartbeats({ hello.vm }, now);
+  sendUnresolved({ hello.vm }, m_scheduler.unresolvedStarts().all(), now);
 }
 
 TimePoint
@@ -405,20 +415,22 @@
   m_lastBootTime = boot;
   const TimePoint now = m_clocks.steady();
   if (gap > m_settings.pauseLimit)
-    pauseNoticed(now, gap);
+    handlePause(now, gap);
   return now;
 }
 
-/// Others have given this daemon up, and callers may have submitted again
-/// elsewhere: nothing is started before all that has come in meanwhile is read.
+/// The peers consider this daemon lost, and callers may have submitted their
+/// jobs again elsewhere. So nothing is started before all messages that came in
+/// during the pause are read.
 void
-EntryCore::pauseNoticed(TimePoint now, Duration gap)
+EntryCore::handlePause(TimePoint now, Duration gap)
 {
   logDecision(
     LogLevel::Warning, "pause-noticed", { { "gapMs", toMilliseconds(gap) } });
-  m_resumeAt = now + m_settings.wakeTime;
-  // What a daemon had that was lost meanwhile, unheard, is over by then.
-  m_informedAt = now + lostRunLimit;
+  m_resumeAt = now + m_settings.resumeDelay;
+  // Runs of a daemon that was lost unnoticed during the pause have ended by
+  // then.
+  m_peersReportedAt = now + lostRunLimit;
   m_scheduler.suspend(now);
   m_gateway.tellAnew(now - gap + wantedRunLimit);
   m_links.dropAll();
@@ -432,117 +444,118 @@
     m_resumeAt.reset();
     m_scheduler.resume(now);
   }
-  noticeStrain(now);
+  updateCpuStarvation(now);
   m_shards.setKnownMembers(m_links.knownCount());
   probeOrphans(now);
-  applyDecisions(now);
+  applyShardDecisions(now);
   m_configuration.tick(now);
-  m_contact.tick(now);
-  acknowledgeBeats(now);
+  m_peerContact.tick(now);
+  acknowledgeHeartbeats(now);
   m_scheduler.tick(now);
-  tellNewUnresolved(now);
+  sendNewUnresolved(now);
   m_gateway.tick(now);
-  if (now - m_lastBeatAt >= m_settings.heartbeats.interval)
-    beatInTurn(now);
+  if (now - m_lastHeartbeatAt >= m_settings.heartbeats.interval)
+    sendScheduledHeartbeats(now);
   else
-    beatHolders(now);
-  if (now - m_lastPlatformBeatAt >= m_settings.platformBeatInterval) {
-    m_lastPlatformBeatAt = now;
+    advertiseFreePlaces(now);
+  if (now - m_lastPlatformHeartbeatAt >= m_settings.platformHeartbeatInterval) {
+    m_lastPlatformHeartbeatAt = now;
     for (const auto& [shard, token] : m_shards.held())
       m_ports.publishHolder(shard, m_tokens.highest());
   }
-  checkLeaving(now);
+  checkShutdown(now);
 }
 
-/// Tells all others at once.
+/// Sends a heartbeat to all peers at once.
 void
 EntryCore::beat(TimePoint now)
 {
-  m_lastHolderBeatAt = now;
-  m_toldPlaces = sparePlaces(now);
+  m_lastPlacesUpdateAt = now;
+  m_advertisedPlaces = sparePlaces(now);
   const std::set<VmId> up = m_links.up();
-  sendBeats({ up.begin(), up.end() }, now);
+  sendHeartbeats({ up.begin(), up.end() }, now);
 }
 
 void
-EntryCore::beatInTurn(TimePoint now)
+EntryCore::sendScheduledHeartbeats(TimePoint now)
 {
-  boundShards(now);
-  updateClose();
-  m_isDirectoryReader = m_readers.isReader(m_shards.members());
-  m_lastBeatAt = now;
-  const auto due = m_heartbeats.due(m_links.up(), m_close, now);
-  if (m_heartbeats.isEachDue()) {
-    m_lastHolderBeatAt = now;
-    m_toldPlaces = sparePlaces(now);
+  updateShardSizes(now);
+  updateClosePeers();
+  m_isDirectoryReader = m_directoryReaders.isReader(m_shards.members());
+  m_lastHeartbeatAt = now;
+  const auto due = m_heartbeats.due(m_links.up(), m_closePeers, now);
+  if (m_heartbeats.sendsToEachPeer()) {
+    m_lastPlacesUpdateAt = now;
+    m_advertisedPlaces = sparePlaces(now);
   }
-  sendBeats(due, now);
+  sendHeartbeats(due, now);
 }
 
 void
-EntryCore::sendBeats(const std::vector<VmId>& vms, TimePoint now)
+EntryCore::sendHeartbeats(const std::vector<VmId>& vms, TimePoint now)
 {
-  std::map<Duration, std::vector<VmId>> byPromise;
+  std::map<Duration, std::vector<VmId>> byNextWithin;
   for (const VmId& vm : vms) {
-    const bool isClose = m_close.count(vm) > 0;
-    byPromise[m_heartbeats.promise(vm, isClose, now)].push_back(vm);
+    const bool isClose = m_closePeers.count(vm) > 0;
+    byNextWithin[m_heartbeats.promise(vm, isClose, now)].push_back(vm);
   }
-  if (byPromise.empty())
+  if (byNextWithin.empty())
     return;
-  PeerBeat beat = makeBeat(now);
-  for (const auto& [promise, receivers] : byPromise) {
+  PeerBeat beat = makeHeartbeat(now);
+  for (const auto& [promise, receivers] : byNextWithin) {
     beat.nextWithin = promise;
     m_links.sendToEach(receivers, beat);
   }
 }
 
-/// Daemons whose last common job is over need be heard less often.
+/// Peers that share no jobs with this daemon any more need fewer heartbeats.
 void
-EntryCore::updateClose()
+EntryCore::updateClosePeers()
 {
   m_jobHolders = m_gateway.holders();
   std::set<VmId> close = m_jobHolders;
   close.merge(m_scheduler.submitters());
   close.erase(m_settings.vm);
-  for (const VmId& vm : m_close) {
+  for (const VmId& vm : m_closePeers) {
     if (close.count(vm) == 0)
       m_links.setClose(vm, false);
   }
   for (const VmId& vm : close)
     m_links.setClose(vm, true);
-  m_close = std::move(close);
+  m_closePeers = std::move(close);
 }
 
 void
-EntryCore::addClose(const VmId& vm)
+EntryCore::addClosePeer(const VmId& vm)
 {
-  m_close.insert(vm);
+  m_closePeers.insert(vm);
   m_links.setClose(vm, true);
 }
 
-/// Tells other holders soon when places have become free or rare.
+/// Sends a heartbeat to the other holders early when the number of free places
+/// has changed by a quarter or more.
 void
-EntryCore::beatHolders(TimePoint now)
+EntryCore::advertiseFreePlaces(TimePoint now)
 {
-  const Duration since = now - m_lastHolderBeatAt;
-  if (m_shards.held().empty() || since < placesInterval)
+  const Duration since = now - m_lastPlacesUpdateAt;
+  if (m_shards.held().empty() || since < placesUpdateInterval)
     return;
   const std::set<VmId> holders = m_shards.holders();
-  if (since < placesIntervalEach * holders.size())
+  if (since < placesUpdateIntervalPerHolder * holders.size())
     return;
   const unsigned places = sparePlaces(now);
   const unsigned change =
-    std::max(places, m_toldPlaces) - std::min(places, m_toldPlaces);
-  if (change * 4 < std::max(places, m_toldPlaces))
+    std::max(places, m_advertisedPlaces) - std::min(places, m_advertisedPlaces);
+  if (change * minPlacesChangeDivisor < std::max(places, m_advertisedPlaces))
     return;
-  m_lastHolderBeatAt = now;
-  m_toldPlaces = places;
+  m_lastPlacesUpdateAt = now;
+  m_advertisedPlaces = places;
   std::vector<VmId> others;
   for (const VmId& vm : holders) {
     if (vm != m_settings.vm)
       others.push_back(vm);
   }
-  sendBeats(others, now);
+  sendHeartbeats(others, now);
 }
 
 unsigned
@@ -554,38 +567,40 @@
   return places;
 }
 
-/// Ticks that come late over a while mean that this process gets too little
-/// processor time.
+/// Checks for CPU starvation: ticks that come late for some time mean that this
+/// process gets too little processor time.
 void
-EntryCore::noticeStrain(TimePoint now)
+EntryCore::updateCpuStarvation(TimePoint now)
 {
-  if (m_strain.ticked(now))
-    logDecision(LogLevel::Info,
-                m_strain.isStrained() ? "strained" : "strain-over",
-                { { "latenessMs", toMilliseconds(m_strain.lateness()) } });
-  m_shards.setStrained(m_strain.isStrained());
+  if (m_cpuStarvation.ticked(now))
+    logDecision(
+      LogLevel::Info,
+      m_cpuStarvation.isStrained() ? "strained" : "strain-over",
+      { { "latenessMs", toMilliseconds(m_cpuStarvation.lateness()) } });
+  m_shards.setStrained(m_cpuStarvation.isStrained());
 }
 
-/// Asks the workers of zones without a daemon whether anybody uses them.
+/// Asks the workers of zones without a reachable daemon whether any daemon
+/// still uses them.
 void
 EntryCore::probeOrphans(TimePoint now)
 {
   std::set<ShardId> asked;
   for (const auto& [shard, token] : m_shards.orphans(now)) {
     asked.insert(shard);
-    m_vacancy.probe(shard, token, m_scheduler.workersOf(shard), now);
-    if (!m_vacancy.isVacant(shard))
+    m_vacancyProbe.probe(shard, token, m_scheduler.workersOf(shard), now);
+    if (!m_vacancyProbe.isVacant(shard))
       continue;
     logDecision(LogLevel::Info,
                 "shard-vacant",
                 { { "shard", shard.toString() }, { "lastToken", token } });
     m_shards.setVacant(shard, now);
   }
-  m_vacancy.keepOnly(asked);
+  m_vacancyProbe.keepOnly(asked);
 }
 
 PeerBeat
-EntryCore::makeBeat(TimePoint now) const
+EntryCore::makeHeartbeat(TimePoint now) const
 {
   PeerBeat beat;
   beat.isLeaving = isLeaving();
@@ -594,14 +609,15 @@
     beat.shards[shard] = { token,
                            m_scheduler.sparePlaces(shard, now),
                            m_scheduler.digest(shard) };
-  beat.isStrained = m_strain.isStrained();
+  beat.isStrained = m_cpuStarvation.isStrained();
   beat.isNew = m_shards.isNew(now);
   beat.slowness = m_settings.slowness;
   beat.carried = carriedWorkers(m_settings.limits);
   beat.highestToken = m_tokens.highest();
   beat.configVersion = m_configuration.version();
   beat.evacuations = m_evacuations;
-  // The time by which others acknowledge the heartbeat is that of this list.
+  // Peers that acknowledge this heartbeat thereby confirm that they have read
+  // this list.
   beat.longJobs = m_gateway.longJobs(now);
   beat.asksAck = m_gateway.hasUntoldJobs(now);
   beat.sentAt = PeerContact::stamp(now);
@@ -609,7 +625,7 @@
 }
 
 void
-EntryCore::applyDecisions(TimePoint now)
+EntryCore::applyShardDecisions(TimePoint now)
 {
   for (const ShardId& shard : std::exchange(m_fenced, {}))
     m_shards.fenced(shard, now);
@@ -638,16 +654,16 @@
 }
 
 void
-EntryCore::checkLeaving(TimePoint now)
+EntryCore::checkShutdown(TimePoint now)
 {
-  if (!m_leaveAt || !m_left)
+  if (!m_shutdownStartedAt || !m_onShutdownDone)
     return;
-  const Duration since = now - *m_leaveAt;
+  const Duration since = now - *m_shutdownStartedAt;
   const bool isIdle = m_gateway.waiting() == 0 && m_scheduler.jobCount() == 0;
-  const bool isDone = isIdle && since >= m_settings.unreadyTime;
+  const bool isDone = isIdle && since >= m_settings.balancerDelay;
   if (!isDone && since < m_grace - exitMargin)
     return;
-  std::exchange(m_left, nullptr)();
+  std::exchange(m_onShutdownDone, nullptr)();
 }
 
 void
@@ -660,7 +676,7 @@
   else if (const auto* submit = std::get_if<PeerSubmit>(&message))
     submitted(vm, *submit, now);
   else if (const auto* ack = std::get_if<PeerBeatAck>(&message))
-    beatAcknowledged(vm, *ack, now);
+    heartbeatAcknowledged(vm, *ack, now);
   else if (const auto* cancel = std::get_if<PeerCancel>(&message))
     m_scheduler.cancel(cancel->key, now);
   else if (const auto* ended = std::get_if<PeerJobEnd>(&message))
@@ -675,7 +691,7 @@
     m_links.send(
       vm, PeerRecalled{ recall->job, m_gateway.recall(vm, *recall, now) });
   else if (const auto* recalled = std::get_if<PeerRecalled>(&message))
-    recalledReceived(vm, *recalled, now);
+    recallAcknowledged(vm, *recalled, now);
   else if (const auto* news = std::get_if<PeerWorkerNews>(&message))
     m_ports.workerNews(*news);
   else
@@ -685,17 +701,17 @@
 void
 EntryCore::beatReceived(const VmId& vm, const PeerBeat& beat, TimePoint now)
 {
-  m_reports.received(vm, beat, now);
-  m_contact.beatReceived(vm, beat.sentAt, now);
+  m_peerReports.received(vm, beat, now);
+  m_peerContact.beatReceived(vm, beat.sentAt, now);
   m_knownJobs.told(vm, beat.longJobs, now);
   m_gateway.told(vm, beat.longJobs, now);
   if (beat.asksAck)
-    m_links.send(vm, m_contact.acknowledgement(vm));
+    m_links.send(vm, m_peerContact.acknowledgement(vm));
   adoptEvacuations(beat.evacuations, now);
   m_tokens.seen(beat.highestToken);
   MemberView view;
   view.id = vm;
-  view.zone = m_reports.zone(vm);
+  view.zone = m_peerReports.zone(vm);
   view.isLeaving = beat.isLeaving;
   view.isReady = beat.isReady;
   view.isStrained = beat.isStrained;
@@ -705,8 +721,8 @@
   for (const auto& [shard, held] : beat.shards)
     view.shards[shard] = held.token;
   if (m_shards.memberSeen(view, now))
-    boundShards(now);
-  adoptDivisions(beat, now);
+    updateShardSizes(now);
+  adoptShardDivisions(beat, now);
   m_scheduler.forgetPeer(vm);
   if (!beat.isLeaving) {
     for (const auto& [shard, held] : beat.shards)
@@ -716,7 +732,7 @@
 }
 
 void
-EntryCore::tellUnresolved(const std::vector<VmId>& vms,
+EntryCore::sendUnresolved(const std::vector<VmId>& vms,
                           const std::vector<UnresolvedStart>& starts,
                           TimePoint now)
 {
@@ -728,11 +744,11 @@
 }
 
 void
-EntryCore::tellNewUnresolved(TimePoint now)
+EntryCore::sendNewUnresolved(TimePoint now)
 {
   const auto starts = std::exchange(m_newUnresolved, {});
   const std::set<VmId> up = m_links.up();
-  tellUnresolved({ up.begin(), up.end() }, starts, now);
+  sendUnresolved({ up.begin(), up.end() }, starts, now);
 }
 
 void
@@ -747,10 +763,10 @@
 void
 EntryCore::submitted(const VmId& vm, const PeerSubmit& submit, TimePoint now)
 {
-  addClose(vm);
-  m_contact.acknowledged(vm, submit.ack, now);
-  if (m_contact.takeAsking(vm, now))
-    sendBeats({ vm }, now);
+  addClosePeer(vm);
+  m_peerContact.acknowledged(vm, submit.ack, now);
+  if (m_peerContact.takeOutOfTurnRequest(vm, now))
+    sendHeartbeats({ vm }, now);
   JobRequest request = submit.request;
   if (request.exclusiveFor != Duration::max()) {
     const auto sentAfter =
@@ -764,81 +780,86 @@
   m_scheduler.submit(std::move(request), now);
 }
 
-/// A daemon that hasn't heard all others since its start or a pause may have
-/// missed what they told, and they what it told. After a loss of all there is
-/// nothing to be told.
+/// Whether this daemon knows which jobs are in progress at the peers. If it
+/// hasn't heard from all peers since its start or a pause, it may have missed
+/// advertisements of theirs, and they may have missed its own. If all daemons
+/// have just started, as after a loss of the whole group, there are no such
+/// jobs.
 bool
-EntryCore::isInformed(TimePoint now) const
+EntryCore::havePeersReported(TimePoint now) const
 {
   const std::size_t known = m_links.knownCount();
-  return now >= m_informedAt || m_shards.haveAllJustStarted() ||
+  return now >= m_peersReportedAt || m_shards.haveAllJustStarted() ||
          (known > 0 && m_shards.members().size() >= known);
 }
 
-/// Whether this daemon may be in the smaller part of a cut group. A connection
-/// that is closed tells of a process that has ended.
+/// Whether this daemon may be in the smaller part of a partitioned group. Only
+/// silent peers count as lost: a closed connection means that the peer's
+/// process has ended.
 bool
 EntryCore::isCutOff(TimePoint now) const
 {
   const std::size_t reachable = m_links.up().size() + 1;
   const std::size_t known = m_links.knownCount() + 1;
-  const bool hasFoundFew =
-    now < m_foundAllAt && known > reachable && known - reachable >= reachable;
-  return hasFoundFew || m_losses.isCutOff(reachable, now);
+  const bool hasDiscoveredFew = now < m_discoveryEndsAt && known > reachable &&
+                                known - reachable >= reachable;
+  return hasDiscoveredFew || m_losses.isCutOff(reachable, now);
 }
 
 std::optional<KnownJobs::Place>
 EntryCore::underWayAt(const JobId& job) const
 {
   const TimePoint now = m_clocks.steady();
-  if (!isInformed(now))
-    return KnownJobs::Place{ std::nullopt,
-                             std::min(m_informedAt, now + informRetry) };
+  if (!havePeersReported(now))
+    return KnownJobs::Place{
+      std::nullopt, std::min(m_peersReportedAt, now + peerReportPollInterval)
+    };
   return m_knownJobs.find(job, now);
 }
 
-/// Until when all daemons that can be reached have read of this one. In a group
-/// whose members aren't all sent a heartbeat in each interval, only those that
-/// have jobs in common with it are.
+/// The time of the newest heartbeat that all reachable peers have read. In a
+/// group that is too large for a heartbeat to each peer in each interval, only
+/// the peers that share jobs with this daemon count.
 TimePoint
-EntryCore::allToldUntil() const
+EntryCore::allAdvertisedUntil() const
 {
-  TimePoint told = TimePoint::max();
+  TimePoint advertisedUntil = TimePoint::max();
   const TimePoint now = m_clocks.steady();
-  if (!isInformed(now) || isCutOff(now))
+  if (!havePeersReported(now) || isCutOff(now))
     return TimePoint();
   for (const VmId& vm : m_links.up()) {
-    if (m_heartbeats.isEachDue() || m_close.count(vm) > 0)
-      told = std::min(told, m_contact.toldUntil(vm));
+    if (m_heartbeats.sendsToEachPeer() || m_closePeers.count(vm) > 0)
+      advertisedUntil = std::min(advertisedUntil, m_peerContact.toldUntil(vm));
   }
-  return told;
+  return advertisedUntil;
 }
 
-/// Tells the holders of this daemon's jobs that it is there.
+/// Acknowledges the heartbeats of holders that have this daemon's jobs, which
+/// shows them that it is alive.
 void
-EntryCore::acknowledgeBeats(TimePoint now)
+EntryCore::acknowledgeHeartbeats(TimePoint now)
 {
   for (const VmId& vm : m_jobHolders) {
-    if (const auto ack = m_contact.takeDue(vm, now))
+    if (const auto ack = m_peerContact.takeDue(vm, now))
       m_links.send(vm, *ack);
   }
 }
 
 void
-EntryCore::beatAcknowledged(const VmId& vm,
-                            const PeerBeatAck& ack,
-                            TimePoint now)
+EntryCore::heartbeatAcknowledged(const VmId& vm,
+                                 const PeerBeatAck& ack,
+                                 TimePoint now)
 {
-  const Duration before = now - m_contact.lastContact(vm);
-  m_contact.acknowledged(vm, ack, now);
+  const Duration before = now - m_peerContact.lastContact(vm);
+  m_peerContact.acknowledged(vm, ack, now);
   if (before > m_settings.scheduler.startContactLimit)
     m_scheduler.contactRenewed(now);
 }
 
-/// Divides zones anew whose daemons can hold more or fewer workers than was
-/// known.
+/// Divides zones anew when the number of workers that their daemons can hold
+/// has changed.
 void
-EntryCore::boundShards(TimePoint now)
+EntryCore::updateShardSizes(TimePoint now)
 {
   if (!m_shardSizes.update(m_shards.weakestCarried(), now))
     return;
@@ -848,17 +869,17 @@
              { { "zone", zone }, { "workers", workers } });
   m_scheduler.setBounds(m_shardSizes.bounds());
   if (m_hasWorkers)
-    listWorkers(now);
+    updateWorkerList(now);
 }
 
 void
-EntryCore::adoptDivisions(const PeerBeat& beat, TimePoint now)
+EntryCore::adoptShardDivisions(const PeerBeat& beat, TimePoint now)
 {
-  bool isDividedAnew = false;
+  bool isDivisionChanged = false;
   for (const auto& [shard, held] : beat.shards)
-    isDividedAnew = m_scheduler.adoptDivision(shard) || isDividedAnew;
-  if (isDividedAnew)
-    divisionRead(now);
+    isDivisionChanged = m_scheduler.adoptDivision(shard) || isDivisionChanged;
+  if (isDivisionChanged)
+    applyShardDivision(now);
 }
 
 void
@@ -866,7 +887,7 @@
 {
   const auto lastRead = m_lastReadAt.extract(vm);
   const TimePoint lastReadAt = lastRead ? lastRead.mapped() : now;
-  const IdList handedTo = m_gateway.jobsAt(vm);
+  const IdList handedTo = m_gateway.jobsSubmittedTo(vm);
   const IdList heldFor = m_scheduler.jobsOf(vm);
   logDecision(LogLevel::Info,
               "peer-lost",
@@ -884,11 +905,11 @@
 {
   const TimePoint now = m_clocks.steady();
   logPeerLost(vm, loss, now);
-  m_close.erase(vm);
+  m_closePeers.erase(vm);
   m_jobHolders.erase(vm);
-  m_contact.lost(vm);
+  m_peerContact.lost(vm);
   m_knownJobs.lost(vm, now);
-  noteLoss(vm, loss, now);
+  recordLoss(vm, loss, now);
   m_shards.memberGone(vm, now);
   m_configuration.lost(vm);
   m_scheduler.daemonLost(vm, loss == PeerLoss::Silent, now);
@@ -896,9 +917,9 @@
 }
 
 void
-EntryCore::recalledReceived(const VmId& vm,
-                            const PeerRecalled& recalled,
-                            TimePoint now)
+EntryCore::recallAcknowledged(const VmId& vm,
+                              const PeerRecalled& recalled,
+                              TimePoint now)
 {
   if (recalled.overIn == Duration::zero())
     m_knownJobs.over(vm, recalled.job);
@@ -906,12 +927,12 @@
 }
 
 void
-EntryCore::noteLoss(const VmId& vm, PeerLoss loss, TimePoint now)
+EntryCore::recordLoss(const VmId& vm, PeerLoss loss, TimePoint now)
 {
   if (loss == PeerLoss::Silent)
     m_losses.lost(vm, now);
   if (isCutOff(now))
-    m_gateway.tellAnew(now + cutOffLimit);
+    m_gateway.tellAnew(now + partitionedJobLimit);
 }
 
 void
@@ -942,13 +963,13 @@
 EntryCore::submitTo(const VmId& vm, const JobRequest& request)
 {
   if (vm != m_settings.vm) {
-    addClose(vm);
+    addClosePeer(vm);
     m_jobHolders.insert(vm);
     return m_links.send(
       vm,
       PeerSubmit{ request,
-                  m_contact.acknowledgement(vm),
-                  m_contact.acknowledgementAge(vm, m_clocks.steady()) });
+                  m_peerContact.acknowledgement(vm),
+                  m_peerContact.acknowledgementAge(vm, m_clocks.steady()) });
   }
   m_scheduler.submit(request, m_clocks.steady());
   return true;
@@ -964,7 +985,7 @@
 }
 
 void
-EntryCore::keepAt(const VmId& vm, const JobKey& key)
+EntryCore::confirmAdvertisedAt(const VmId& vm, const JobKey& key)
 {
   if (vm == m_settings.vm)
     m_scheduler.keep(key, m_clocks.steady());
--- a/src/libentry/entrydaemon.cpp
+++ b/src/libentry/entrydaemon.cpp
@@ -49,15 +49,17 @@
     .count();
 }
 
-/// What a fixed work, some messages written and read, takes on this machine, as
-/// a logarithm to the base of two: machines differ by factors.
+/// The time that a fixed benchmark, encoding and decoding some messages, takes
+/// on this machine. It is given as a base-2 logarithm, because machines differ
+/// by factors.
 int
 measureSlowness()
 {
   constexpr int rounds = 3;
   constexpr int messages = 20;
+  constexpr std::size_t specBytes = 500;
   PeerSubmit sample;
-  sample.request.spec = std::string(500, 'x');
+  sample.request.spec = std::string(specBytes, 'x');
   Duration best = std::chrono::seconds(1);
   for (int round = 0; round < rounds; ++round) {
     const TimePoint start = steadyNow();
@@ -168,7 +170,7 @@
 void
 EntryDaemon::tickLater()
 {
-  m_timer.expires_after(m_settings.core.strain.tickInterval);
+  m_timer.expires_after(m_settings.core.cpuStarvation.tickInterval);
   m_timer.async_wait([this](boost::system::error_code error) {
     if (error)
       return;
--- a/src/libentry/strainmeter.cpp
+++ b/src/libentry/strainmeter.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// Weight of the newest tick in the mean lateness; it spans some 300 ms.
+/// Weight of the newest tick in the moving average, which thus spans some 300
+/// ms.
 constexpr double newestWeight = 0.07;
 
 } // namespace
@@ -24,10 +25,10 @@
     m_lateness = Duration(static_cast<Duration::rep>(mean));
   }
   m_lastTickAt = now;
-  const bool was = m_isStrained;
-  m_isStrained =
-    m_lateness > (was ? m_settings.calmLateness : m_settings.strainLateness);
-  return m_isStrained != was;
+  const bool wasCpuStarved = m_isStrained;
+  m_isStrained = m_lateness > (wasCpuStarved ? m_settings.recoveryLateness
+                                             : m_settings.starvedLateness);
+  return m_isStrained != wasCpuStarved;
 }
 
 } // namespace cowslippin
--- a/src/libentry/tokensource.cpp
+++ b/src/libentry/tokensource.cpp
@@ -7,16 +7,20 @@
 
 namespace {
 
-/// Tokens are the time of day in milliseconds since 2024 times this, and a
-/// rest of the process's own, so that two daemons don't make the same one. They
-/// stay below 2^53, which any JSON reader takes exactly.
+/// A token is the time of day in milliseconds since 2024 times `tokensPerMs`,
+/// plus a remainder that depends on the process, so that two daemons don't
+/// generate the same token. Tokens stay below 2^53, which any JSON parser reads
+/// exactly.
 constexpr std::uint64_t tokensPerMs = 4096;
 constexpr std::int64_t tokenEpochMs = 1704067200000;
-/// Above the highest token that is known of.
-constexpr std::uint64_t usualMargin = tokensPerMs;
-/// Three seconds, more than clocks of the machines differ by.
-constexpr std::uint64_t refusalMargin = 3000 * tokensPerMs;
-/// It is doubled at most so often, up to 51 minutes.
+/// Minimum increment above the highest known token.
+constexpr std::uint64_t minIncrement = tokensPerMs;
+/// The clocks of the machines differ by less than this.
+constexpr std::uint64_t maxClockDifferenceMs = 3000;
+/// Minimum increment after a refusal.
+constexpr std::uint64_t refusalIncrement = maxClockDifferenceMs * tokensPerMs;
+/// Maximum number of doublings of `refusalIncrement`; it then stands for 51
+/// minutes.
 constexpr unsigned maxDoublings = 10;
 
 } // namespace
@@ -37,7 +41,7 @@
 FencingToken
 TokenSource::next()
 {
-  return above(usualMargin);
+  return makeAbove(minIncrement);
 }
 
 FencingToken
@@ -46,11 +50,11 @@
   if (refusals == 0)
     return next();
   const unsigned doublings = std::min(refusals - 1, maxDoublings);
-  return above(refusalMargin << doublings);
+  return makeAbove(refusalIncrement << doublings);
 }
 
 FencingToken
-TokenSource::above(std::uint64_t margin)
+TokenSource::makeAbove(std::uint64_t margin)
 {
   const std::int64_t sinceEpoch = m_timeOfDay() - tokenEpochMs;
   const auto fromClock =
