--- a/tests/entry/daemongroup_test.cpp
+++ b/tests/entry/faultinjection_test.cpp
@@ -1,4 +1,4 @@
-#include "troubles.h"
+#include "faultscenario.h"
 
 #include <gtest/gtest.h>
 
@@ -21,16 +21,16 @@
 
 using Case = std::tuple<std::size_t, int>;
 
-class DaemonGroupInTrouble : public ::testing::TestWithParam<Case>
+class DaemonGroupFaults : public ::testing::TestWithParam<Case>
 {};
 
-TEST_P(DaemonGroupInTrouble, KeepsEveryPromiseAndServesAgainAfterIt)
+TEST_P(DaemonGroupFaults, PreservesInvariantsAndRecovers)
 {
-  const Trouble trouble = troubles()[std::get<0>(GetParam())];
-  Simulation simulation(trouble.settings, std::get<1>(GetParam()));
+  const FaultScenario scenario = faultScenarios()[std::get<0>(GetParam())];
+  Simulation simulation(scenario.settings, std::get<1>(GetParam()));
   simulation.runFor(seconds(3));
-  for (int strike = 0; strike < 8; ++strike) {
-    trouble.strike(simulation);
+  for (int round = 0; round < 8; ++round) {
+    scenario.inject(simulation);
     simulation.runFor(milliseconds(700 + simulation.random()() % 1600));
   }
   for (unsigned zone = 0; zone < simulation.zones(); ++zone)
@@ -48,12 +48,12 @@
 std::string
 caseName(const ::testing::TestParamInfo<Case>& info)
 {
-  return std::string(troubles()[std::get<0>(info.param)].name) +
+  return std::string(faultScenarios()[std::get<0>(info.param)].name) +
          std::to_string(std::get<1>(info.param));
 }
 
-/// The seeds that are played: 1 to 8, or up to what the variable
-/// COWSLIPPIN_TEST_SEEDS says.
+/// The last seed to run; the first is 1. The environment variable
+/// COWSLIPPIN_TEST_SEEDS replaces the default of 8.
 int
 lastSeed()
 {
@@ -63,15 +63,17 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Seeds,
-  DaemonGroupInTrouble,
-  ::testing::Combine(::testing::Range<std::size_t>(0, troubles().size()),
+  DaemonGroupFaults,
+  ::testing::Combine(::testing::Range<std::size_t>(0, faultScenarios().size()),
                      ::testing::Range(1, lastSeed() + 1)),
   caseName);
 
-/// Seeds beyond the first eight that have failed: of `Leave`, `CutOff`,
-/// `DividedAnew`, `AllAndDividedAnew`, `Unlisted` and `UnlistedManyWorkers`.
-INSTANTIATE_TEST_SUITE_P(FailedOnce,
-                         DaemonGroupInTrouble,
+/// Seeds beyond the first eight that have failed before: of `Leave`,
+/// `PartitionDaemon`, `Resharding`, `AnyFaultAndResharding`,
+/// `AnyFaultAndDelayedWorkerLists`, `ExpiredEntries` and
+/// `ExpiredEntriesManyWorkers`.
+INSTANTIATE_TEST_SUITE_P(RegressionSeeds,
+                         DaemonGroupFaults,
                          ::testing::Values(Case(3, 34),
                                            Case(3, 35),
                                            Case(4, 25),
@@ -88,9 +90,12 @@
                                            Case(17, 183)),
                          caseName);
 
-/// Seeds in which runs go on for too long after the contact was lost.
-INSTANTIATE_TEST_SUITE_P(LostContacts,
-                         DaemonGroupInTrouble,
+/// Seeds in which runs went on for too long after the holder had lost contact
+/// with the daemon whose callers wait for the job. Of
+/// `PartitionWithLateDetection`, `PartitionWithLateDetectionAndOrderFaults`,
+/// `DisconnectCallersDelayedProcessing` and `LateLossDetection`.
+INSTANTIATE_TEST_SUITE_P(LostContact,
+                         DaemonGroupFaults,
                          ::testing::Values(Case(23, 9),
                                            Case(23, 17),
                                            Case(23, 21),
@@ -105,11 +110,12 @@
                                            Case(28, 16)),
                          caseName);
 
-/// Seeds in which an order to an earlier life of a worker is carried out,
-/// seconds late, by the next life before that one has been claimed. Of
-/// `RestartWorkersAndOrderFaults` and `RestartWorkersAndAll`.
-INSTANTIATE_TEST_SUITE_P(OrdersToAnEarlierLife,
-                         DaemonGroupInTrouble,
+/// Seeds in which a worker restarts, and the new incarnation carries out an
+/// order that was sent to the earlier incarnation and arrives seconds late,
+/// before any holder has claimed the new incarnation. Of
+/// `RestartWorkersAndOrderFaults` and `RestartWorkersAndAnyFault`.
+INSTANTIATE_TEST_SUITE_P(OrdersToAnEarlierIncarnation,
+                         DaemonGroupFaults,
                          ::testing::Values(Case(19, 16),
                                            Case(19, 130),
                                            Case(19, 393),
@@ -150,11 +156,12 @@
                                            Case(20, 1389)),
                          caseName);
 
-/// Seeds in which the next life of a worker carries out a late start that is
-/// unknown to the daemon that holds the worker or starts the task again, or two
-/// late starts of one task. Of `RestartWorkersAndAll`.
-INSTANTIATE_TEST_SUITE_P(UnknownLateStarts,
-                         DaemonGroupInTrouble,
+/// Seeds in which a worker's new incarnation carries out a late start order
+/// that is unknown to the daemon that holds the worker or to the daemon that
+/// starts the task again, or carries out two late start orders of one task. Of
+/// `RestartWorkersAndAnyFault`.
+INSTANTIATE_TEST_SUITE_P(LateStartsUnknownToHolder,
+                         DaemonGroupFaults,
                          ::testing::Values(Case(20, 45),
                                            Case(20, 166),
                                            Case(20, 222),
@@ -169,12 +176,12 @@
                                            Case(20, 1389)),
                          caseName);
 
-/// Seeds in which a job comes again to a daemon that can't know of the first
-/// submission, or goes on at a gateway that wakes. Of
-/// `LoseCallersUnnoticedAndAll`, `CallersReturnAndFreeze` and
-/// `CallersReturnAndAll`.
-INSTANTIATE_TEST_SUITE_P(JobsThatComeAgain,
-                         DaemonGroupInTrouble,
+/// Seeds in which a job is submitted again to a daemon that can't know of the
+/// first submission, or is continued by a daemon that resumes after a
+/// suspension. Of `DisconnectCallersUndetectedAndAnyFault`,
+/// `CallersResubmitAndFreeze` and `CallersResubmitAndAnyFault`.
+INSTANTIATE_TEST_SUITE_P(ResubmittedJobs,
+                         DaemonGroupFaults,
                          ::testing::Values(Case(30, 60),
                                            Case(30, 180),
                                            Case(33, 126),
--- a/tests/entry/latestart_test.cpp
+++ b/tests/entry/latestart_test.cpp
@@ -10,14 +10,15 @@
 
 constexpr std::uint64_t seeds = 40;
 
-/// Long tasks, so that one is still at work when a late start of it arrives.
+/// Long tasks: a task is still running when a late start order of the same task
+/// arrives.
 Simulation::Settings
 withLongTasks()
 {
   Simulation::Settings settings;
   settings.daemonsPerZone = 1;
   settings.workersPerZone = 8;
-  settings.longestTaskMs = 2800;
+  settings.maxTaskMs = 2800;
   settings.jobsPerSecond = 20;
   settings.hasFailures = false;
   return settings;
@@ -39,10 +40,11 @@
   return count;
 }
 
-/// Guards against two runs of a task at once: its start by one holder is 1,700
-/// ms late, its caller submits again to the other, and the first worker
-/// restarts as the late start arrives.
-TEST(LateStartInAGroup, DoesNotRunBesideTheSameTaskAtAnotherHolder)
+/// Guards against two concurrent runs of a task. A start order of one holder
+/// arrives 1,700 ms late. Meanwhile the caller disconnects and submits the job
+/// again, to the other holder, and the first worker restarts as the late start
+/// arrives.
+TEST(LateStartInAGroup, DoesNotRunConcurrentlyWithTheSameTaskOfAnotherHolder)
 {
   unsigned twoRuns = 0;
   unsigned completed = 0;
@@ -52,7 +54,7 @@
     simulation.delayStarts(milliseconds(300), milliseconds(1700));
     simulation.runFor(milliseconds(300));
     for (std::size_t daemon = 0; daemon < simulation.daemons(); ++daemon)
-      simulation.loseCallers(daemon);
+      simulation.disconnectCallers(daemon);
     simulation.runFor(milliseconds(1450));
     restartWorkers(simulation, 0, simulation.workers() / 2);
     simulation.runFor(seconds(4));
@@ -63,9 +65,10 @@
   EXPECT_GT(completed, 20 * seeds);
 }
 
-/// Guards against exceeding the capacity of a worker that restarts as late
-/// starts of a killed holder arrive, while the next holder fills it.
-TEST(LateStartInAGroup, OfALostHolderLeavesRoomForTheNextHoldersStarts)
+/// Guards against exceeding a worker's capacity. A holder is killed, its start
+/// orders arrive late, the worker restarts as they arrive, and the next holder
+/// starts tasks up to the same worker's capacity.
+TEST(LateStartInAGroup, OfALostHolderStaysWithinWorkerCapacity)
 {
   unsigned overCapacity = 0;
   unsigned completed = 0;
--- a/tests/entry/losstrace_test.cpp
+++ b/tests/entry/losstrace_test.cpp
@@ -24,9 +24,9 @@
   return words;
 }
 
-/// Turns every daemon off for a while, one after the other.
+/// Powers off each daemon for 900 ms, one after the other.
 void
-loseEachDaemon(Simulation& simulation)
+powerOffEachDaemon(Simulation& simulation)
 {
   for (std::size_t daemon = 0; daemon < simulation.daemons(); ++daemon) {
     simulation.runFor(seconds(2));
@@ -35,37 +35,40 @@
   simulation.runFor(seconds(3));
 }
 
-/// Guards against a lost holder's jobs whose fate can't be read from the log.
-TEST(LossTrace, EachJobThatALostHolderHadIsHandedOnOrEnds)
+/// Guards against jobs of a lost holder whose outcome can't be read from the
+/// log: each job named in `peer-lost` is handed to another holder, loses its
+/// caller, or is cancelled.
+TEST(LossTrace, EachJobOfALostHolderIsResubmittedOrEnds)
 {
   LogCapture log;
   Simulation simulation({}, 7);
-  loseEachDaemon(simulation);
+  powerOffEachDaemon(simulation);
   std::map<std::string, int> resubmitted;
   for (const auto& line : log.of("job-resubmitted"))
     ++resubmitted[line["job"]];
-  std::set<std::string> over;
+  std::set<std::string> ended;
   for (const char* event : { "caller-gone", "job-cancelled" }) {
     for (const auto& line : log.of(event))
-      over.insert(line["job"]);
+      ended.insert(line["job"]);
   }
   unsigned handedTo = 0;
   for (const auto& line : log.of("peer-lost")) {
     for (const std::string& job : wordsOf(line["handedTo"])) {
       ++handedTo;
-      EXPECT_TRUE(resubmitted.count(job) > 0 || over.count(job) > 0) << line;
+      EXPECT_TRUE(resubmitted.count(job) > 0 || ended.count(job) > 0) << line;
     }
   }
   EXPECT_GT(handedTo, 0u);
   EXPECT_FALSE(resubmitted.empty());
 }
 
-/// Guards against a start after a loss that doesn't say what allowed it.
-TEST(LossTrace, AStartAfterAQuarantineHasTheCauseThatEndedIt)
+/// Guards against a log that doesn't say which event allowed a task to start
+/// again after the loss of a holder.
+TEST(LossTrace, ARestartAfterAQuarantineLogsTheCauseThatEndedIt)
 {
   LogCapture log;
   Simulation simulation({}, 7);
-  loseEachDaemon(simulation);
+  powerOffEachDaemon(simulation);
   const auto ends = log.of("quarantine-ended");
   EXPECT_FALSE(ends.empty());
   std::set<std::string> causes;
@@ -78,7 +81,7 @@
   }
 }
 
-TEST(LossTrace, MetricsCountStartsAgainByCause)
+TEST(LossTrace, MetricsCountTaskRestartsByCause)
 {
   Simulation simulation({}, 7);
   simulation.runFor(seconds(5));
--- a/tests/entry/ramp.h
+++ b/tests/entry/ramp.h
@@ -6,7 +6,8 @@
 
 namespace cowslippin::testing {
 
-/// A lag that grows evenly, stays for a while and shrinks four times as fast.
+/// A delay that rises linearly to `peak` within `rise`, stays there for `hold`,
+/// and falls four times as fast as it rose.
 class Ramp
 {
 public:
--- a/tests/entry/simulation.cpp
+++ b/tests/entry/simulation.cpp
@@ -25,7 +25,7 @@
     for (unsigned i = 0; i < m_settings.workersPerZone; ++i) {
       Worker worker;
       worker.zone = zone;
-      worker.position = i;
+      worker.indexInZone = i;
       m_workers.push_back(std::move(worker));
       crashWorker(m_workers.size() - 1);
     }
@@ -34,7 +34,7 @@
     startNode(node);
   connectDaemons();
   tickWorkers();
-  submitLater();
+  scheduleNextSubmission();
 }
 
 Simulation::~Simulation() = default;
@@ -53,23 +53,23 @@
 }
 
 void
-Simulation::kill(std::size_t daemon, Duration down)
+Simulation::kill(std::size_t daemon, Duration downtime)
 {
   if (!m_nodes[daemon].isAlive)
     return;
-  unlinkAll(daemon, oneWay);
+  disconnectAll(daemon, oneWayDelay);
   stopNode(daemon);
-  at(down, [this, daemon] { startNode(daemon); });
+  schedule(downtime, [this, daemon] { startNode(daemon); });
 }
 
 void
-Simulation::powerOff(std::size_t daemon, Duration down)
+Simulation::powerOff(std::size_t daemon, Duration downtime)
 {
   if (!m_nodes[daemon].isAlive)
     return;
-  unlinkAll(daemon, silenceLimit);
+  disconnectAll(daemon, silenceLimit);
   stopNode(daemon);
-  at(down, [this, daemon] { startNode(daemon); });
+  schedule(downtime, [this, daemon] { startNode(daemon); });
 }
 
 void
@@ -79,16 +79,16 @@
   if (!node.isAlive || node.isFrozen)
     return;
   node.isFrozen = true;
-  at(silenceLimit, [this, daemon, life = node.life] {
-    if (m_nodes[daemon].isFrozen && m_nodes[daemon].life == life)
-      unlinkAll(daemon, Duration::zero());
+  schedule(silenceLimit, [this, daemon, incarnation = node.incarnation] {
+    if (m_nodes[daemon].isFrozen && m_nodes[daemon].incarnation == incarnation)
+      disconnectAll(daemon, Duration::zero());
   });
-  at(duration, [this, daemon, life = node.life] {
-    Node& thawed = m_nodes[daemon];
-    if (!thawed.isAlive || thawed.life != life)
+  schedule(duration, [this, daemon, incarnation = node.incarnation] {
+    Node& resumed = m_nodes[daemon];
+    if (!resumed.isAlive || resumed.incarnation != incarnation)
       return;
-    thawed.isFrozen = false;
-    for (const Action& action : std::exchange(thawed.waiting, {}))
+    resumed.isFrozen = false;
+    for (const Action& action : std::exchange(resumed.deferred, {}))
       action();
   });
 }
@@ -100,13 +100,14 @@
   if (!node.isAlive || node.isFrozen)
     return;
   node.core->leave([this, daemon] {
-    // The process ends after the call that noticed it.
-    at(Duration(1), [this, daemon] {
+    // The process ends only after the call that has reported the end of the
+    // shutdown.
+    schedule(Duration(1), [this, daemon] {
       if (!m_nodes[daemon].isAlive)
         return;
-      unlinkAll(daemon, oneWay);
+      disconnectAll(daemon, oneWayDelay);
       stopNode(daemon);
-      at(milliseconds(300), [this, daemon] { startNode(daemon); });
+      schedule(milliseconds(300), [this, daemon] { startNode(daemon); });
     });
   });
 }
@@ -131,26 +132,28 @@
 Simulation::evacuationsChanged()
 {
   ++m_evacuations.asOf;
-  const auto lag = static_cast<std::size_t>(toMilliseconds(m_settings.listLag));
+  const auto maxDelayMs =
+    static_cast<std::size_t>(toMilliseconds(m_settings.maxReadDelay));
   for (std::size_t node = 0; node < m_nodes.size(); ++node)
-    at(milliseconds(below(lag)), [this, node] { readEvacuations(node); });
+    schedule(milliseconds(randomBelow(maxDelayMs)),
+             [this, node] { readEvacuations(node); });
 }
 
 void
-Simulation::killAll(Duration down)
+Simulation::killAll(Duration downtime)
 {
   for (std::size_t node = 0; node < m_nodes.size(); ++node)
-    kill(node, down);
+    kill(node, downtime);
 }
 
 void
-Simulation::at(Duration delay, Action action)
+Simulation::schedule(Duration delay, Action action)
 {
   m_events.push({ m_now + delay, ++m_lastSequence, std::move(action) });
 }
 
 void
-Simulation::violated(const std::string& what)
+Simulation::recordViolation(const std::string& what)
 {
   const auto ms =
     std::chrono::duration_cast<milliseconds>(m_now.time_since_epoch()).count();
--- a/tests/entry/simulation.h
+++ b/tests/entry/simulation.h
@@ -17,10 +17,11 @@
 
 namespace cowslippin::testing {
 
-/// A group of daemons, their workers and callers on a virtual clock. The same
-/// seed gives the same run. It checks, while it runs, that no task runs twice
-/// at the same time, that no worker runs more than it has room for, and that
-/// nothing runs of a job whose every submission was refused.
+/// Simulates a group of daemons, their workers and their callers on a virtual
+/// clock. The same seed gives the same run. While it runs, it checks that no
+/// task runs twice at the same time, that no worker runs more than its
+/// capacity, and that no task starts of a job whose every submission was
+/// refused. A broken check is recorded as a violation.
 class Simulation
 {
 public:
@@ -31,29 +32,32 @@
     unsigned workersPerZone = 4;
     /// Jobs submitted in a second.
     double jobsPerSecond = 12;
-    /// Shares of the orders to workers that meet a fault.
-    double lostOrders = 0;
-    double lostAnswers = 0;
-    double lateOrders = 0;
-    /// How late a daemon may read a new list of workers.
-    Duration listLag = std::chrono::milliseconds(300);
-    /// Tasks of four jobs in five run for at most 200 ms; the others for at
-    /// least 500 ms and less than this.
-    unsigned longestTaskMs = 1400;
-    /// Whether there are others.
+    /// Shares of the orders to workers that are lost, whose answers are lost,
+    /// or that arrive late and get no answer.
+    double lostOrderShare = 0;
+    double lostAnswerShare = 0;
+    double lateOrderShare = 0;
+    /// Upper limit of the delay after which a daemon reads a changed list of
+    /// workers or of evacuated zones.
+    Duration maxReadDelay = std::chrono::milliseconds(300);
+    /// Tasks of four jobs in five run for at most 200 ms; the tasks of the
+    /// other jobs run for at least 500 ms and less than this.
+    unsigned maxTaskMs = 1400;
+    /// Whether there are jobs with tasks of 500 ms and more.
     bool hasLongTasks = true;
     /// Whether tasks of one job in a hundred fail.
     bool hasFailures = true;
-    /// Whether callers that aren't told what has become of their jobs submit
-    /// them again at any daemon.
-    bool hasReturningCallers = false;
-    /// Of each daemon's link, each way; 0 for any. Orders to workers, their
-    /// answers and messages between daemons queue for it.
-    double linkMegabits = 0;
-    /// Whether daemons know of the limit.
-    bool isLinkKnown = true;
-    /// So many daemons never read at the platform which zones are evacuated.
-    unsigned uninformedDaemons = 0;
+    /// Whether callers whose jobs ended with an unknown outcome submit them
+    /// again, at any daemon.
+    bool hasResubmittingCallers = false;
+    /// Rate of each daemon's link in each direction; 0 for unlimited. Orders to
+    /// workers, their answers and messages between daemons queue for the link.
+    double linkMegabitsPerSecond = 0;
+    /// Whether daemons are configured with the rate of their links.
+    bool isLinkRateKnown = true;
+    /// Number of daemons that never read from the platform which zones are
+    /// evacuated.
+    unsigned daemonsWithoutEvacuationReads = 0;
   };
 
   Simulation(Settings settings, std::uint64_t seed);
@@ -61,47 +65,61 @@
 
   void runFor(Duration duration);
 
-  /// Kills a daemon; its connections are reset. It starts again after `down`.
-  void kill(std::size_t daemon, Duration down);
-  /// It falls silent at once and starts again after `down`.
-  void powerOff(std::size_t daemon, Duration down);
-  /// It stands still; what arrives meanwhile waits.
+  /// Kills a daemon's process: its connections are reset. The daemon starts
+  /// again after `downtime`.
+  void kill(std::size_t daemon, Duration downtime);
+  /// The daemon falls silent without closing its connections, and starts again
+  /// after `downtime`.
+  void powerOff(std::size_t daemon, Duration downtime);
+  /// The daemon's process is suspended; what arrives meanwhile is handled when
+  /// it resumes.
   void freeze(std::size_t daemon, Duration duration);
-  /// It is told to end, and starts again when it has.
+  /// The daemon is asked to shut down gracefully, and starts again after its
+  /// process has ended.
   void leave(std::size_t daemon);
-  /// It reaches no other daemon; callers and workers still reach it.
-  void cutOff(std::size_t daemon, Duration duration);
-  /// As `cutOff`, but it notices the loss later than the others, by `lag`. When
-  /// it reaches them again before, it is told that they have closed.
-  void loseUnevenly(std::size_t daemon, Duration duration, Duration lag);
-  /// A zone's daemons and workers are cut off from those of other zones.
-  void cutZone(unsigned zone, Duration duration);
-  /// All that comes in is handled in order and with a lag: messages, answers of
-  /// workers, callers and its own ticks. The clocks that it reads are right.
-  void runBehind(std::size_t daemon, const Ramp::Shape& lag);
-  /// Its callers lose their connections and submit again at any daemon. It
-  /// learns of that later than they do, by `lag`.
-  void loseCallers(std::size_t daemon, Duration lag = Duration::zero());
+  /// Network partition: the daemon reaches no other daemon; callers and workers
+  /// still reach it.
+  void partitionDaemon(std::size_t daemon, Duration duration);
+  /// As `partitionDaemon`, but the daemon detects the loss of its connections
+  /// later than the other daemons do, by `detectionDelay`. If the partition
+  /// ends before, the daemon is told that the others have closed the
+  /// connections.
+  void partitionWithLateDetection(std::size_t daemon,
+                                  Duration duration,
+                                  Duration detectionDelay);
+  /// Network partition between a zone's daemons and workers and those of all
+  /// other zones.
+  void partitionZone(unsigned zone, Duration duration);
+  /// The daemon handles all input in order and late by `delay`: messages,
+  /// answers of workers, requests of callers and its own ticks. The clocks that
+  /// it reads stay right.
+  void delayProcessing(std::size_t daemon, const Ramp::Shape& delay);
+  /// The daemon's callers lose their connections and submit their jobs again at
+  /// any daemon. The daemon detects that later than its callers, by
+  /// `detectionDelay`.
+  void disconnectCallers(std::size_t daemon,
+                         Duration detectionDelay = Duration::zero());
   /// Every connection between daemons is reset.
-  void resetLinks();
+  void resetConnections();
   void crashWorker(std::size_t worker);
-  /// It starts again under its id and knows nothing of before. Daemons read of
-  /// it at different times.
+  /// The worker starts again under its id with no state from before. Daemons
+  /// read the worker's new entry at different times.
   void restartWorker(std::size_t worker);
-  /// Each zone has so many workers from now on, at most those of the settings.
-  /// What ran on others is gone. Daemons read the list at different times.
+  /// Sets the number of workers in each zone, at most
+  /// `Settings::workersPerZone`. All runs on removed workers are lost. Daemons
+  /// read the list at different times.
   void setWorkersPerZone(unsigned count);
   /// The platform's entries of a share of a zone's workers expire though the
-  /// workers live, and are back after `duration`. Daemons read that at
-  /// different times.
-  void unlist(unsigned zone, double share, Duration duration);
-  void killAll(Duration down);
-  /// Starts that are sent within `duration` get no answer and are carried out
-  /// late by `lag`.
-  void delayStarts(Duration duration, Duration lag);
-  /// Operators ask for a zone to be evacuated, and take it back. Daemons read
-  /// that at different times. Where orders are never late, a start there that
-  /// comes more than `evacuationLimit` later is a violation.
+  /// workers are alive, and return after `duration`. Daemons read each change
+  /// at different times.
+  void expireWorkerEntries(unsigned zone, double share, Duration duration);
+  void killAll(Duration downtime);
+  /// Start orders that are sent within `duration` get no answer and are carried
+  /// out late by `delay`.
+  void delayStarts(Duration duration, Duration delay);
+  /// Operators evacuate a zone, or reopen it. Daemons read each change at
+  /// different times. Unless orders may arrive late, a start in the zone more
+  /// than `evacuationLimit` after the evacuation is a violation.
   void evacuate(unsigned zone);
   void reopen(unsigned zone);
 
@@ -111,7 +129,7 @@
   EntryCore& core(std::size_t daemon) { return *m_nodes[daemon].core; }
 
   const std::vector<std::string>& violations() const { return m_violations; }
-  /// Jobs that are under way.
+  /// Callers that wait for the answer to a job.
   unsigned waitingCallers() const;
   unsigned submitted() const { return m_submitted; }
   unsigned completed() const { return m_completed; }
@@ -119,17 +137,20 @@
   unsigned refused() const { return m_refused; }
   unsigned unknown() const { return m_unknown; }
   unsigned startedTasks() const { return m_startedTasks; }
-  /// Tasks that were started on a zone's workers.
+  /// Tasks that were started on the workers of a zone.
   unsigned startedTasks(unsigned zone) const;
-  /// Heartbeats that a daemon has sent.
-  unsigned beats(std::size_t daemon) const { return m_nodes[daemon].beats; }
-  /// Messages of a kind that a daemon has sent to others.
+  /// Heartbeats that a daemon has messagesSent.
+  unsigned heartbeats(std::size_t daemon) const
+  {
+    return m_nodes[daemon].heartbeats;
+  }
+  /// Messages of type `Message` that a daemon has sent to other daemons.
   template<class Message>
-  unsigned sent(std::size_t daemon) const
+  unsigned messagesSent(std::size_t daemon) const
   {
-    const auto& sent = m_nodes[daemon].sent;
-    const auto found = sent.find(PeerMessage(Message()).index());
-    return found == sent.end() ? 0 : found->second;
+    const auto& messagesSent = m_nodes[daemon].messagesSent;
+    const auto found = messagesSent.find(PeerMessage(Message()).index());
+    return found == messagesSent.end() ? 0 : found->second;
   }
 
   std::mt19937_64& random() { return m_random; }
@@ -148,36 +169,38 @@
       return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
   };
+  /// A simulated daemon.
   struct Node
   {
     VmId id;
     unsigned zone = 0;
     std::unique_ptr<EntryCore> core;
-    unsigned life = 0;
+    unsigned incarnation = 0;
     bool isAlive = false;
     bool isFrozen = false;
-    TimePoint cutUntil{};
-    unsigned beats = 0;
-    /// Messages by their kind.
-    std::map<std::size_t, unsigned> sent;
-    /// Until when its link is busy with what waits in each direction.
-    TimePoint sendsUntil{};
-    TimePoint receivesUntil{};
-    std::vector<Action> waiting;
-    Ramp lag;
-    /// When it handles what came in last.
-    TimePoint handlesUntil{};
-    /// Heartbeats of holders at the platform that it has read.
-    std::map<ShardId, unsigned> knownBeats;
+    TimePoint partitionedUntil{};
+    unsigned heartbeats = 0;
+    /// Number of sent messages by `PeerMessage` index.
+    std::map<std::size_t, unsigned> messagesSent;
+    /// When the link has transferred all that is queued in each direction.
+    TimePoint sendBusyUntil{};
+    TimePoint receiveBusyUntil{};
+    std::vector<Action> deferred;
+    Ramp processingDelay;
+    /// When the input that arrived last is handled.
+    TimePoint processingUntil{};
+    /// Number of the last heartbeat that this daemon has read at the platform
+    /// from the holder of each shard.
+    std::map<ShardId, unsigned> seenHeartbeats;
   };
-  /// What a holder told the platform last.
+  /// The entry that the holder of a shard has published at the platform.
   struct PublishedHolder
   {
     VmId holder;
     FencingToken token = 0;
-    unsigned beats = 0;
+    unsigned heartbeats = 0;
   };
-  struct ParkedHold
+  struct PendingHold
   {
     HoldOrder order;
     std::function<void(const HoldAnswer&)> answer;
@@ -186,23 +209,24 @@
   {
     WorkerRecord record;
     unsigned zone = 0;
-    /// Among those of its zone.
-    unsigned position = 0;
-    unsigned life = 0;
-    /// The platform doesn't list it before then, though it lives.
+    /// Index among the workers of the zone.
+    unsigned indexInZone = 0;
+    unsigned incarnation = 0;
+    /// The platform doesn't list the worker before this time, though the worker
+    /// is alive.
     TimePoint unlistedUntil{};
     std::unique_ptr<FakeWorker> fake;
-    std::map<RunKey, std::int64_t> sizes;
-    std::vector<std::shared_ptr<ParkedHold>> parked;
+    std::map<RunKey, std::int64_t> runCpuMillis;
+    std::vector<std::shared_ptr<PendingHold>> pendingHolds;
   };
   struct Caller
   {
     JobSubmission submission;
     std::size_t daemon = 0;
-    unsigned daemonLife = 0;
+    unsigned daemonIncarnation = 0;
     TimePoint deadline{};
     unsigned attempt = 0;
-    /// Known to the daemon once it has handled the submission.
+    /// Set once the daemon has handled the submission.
     std::shared_ptr<Gateway::Ticket> ticket;
     bool isWaiting = false;
     bool wasAlwaysRefused = true;
@@ -210,82 +234,93 @@
     bool isRefused = false;
   };
 
-  /// A daemon's view of its connection to another.
-  using End = std::pair<std::size_t, std::size_t>;
+  /// One end of a connection: the daemon that owns this end, and the daemon at
+  /// the other end.
+  using ConnectionEnd = std::pair<std::size_t, std::size_t>;
   using ConnectionNumber = std::uint64_t;
 
-  void at(Duration delay, Action action);
-  /// Something comes in at a daemon.
-  void onNode(std::size_t node, unsigned life, const Action& action);
-  void handle(std::size_t node, unsigned life, const Action& action);
-  bool isBehind(std::size_t node) const;
+  void schedule(Duration delay, Action action);
+  /// Input arrives at a daemon: `process` handles it now, or after the daemon's
+  /// processing delay.
+  void deliver(std::size_t node, unsigned incarnation, const Action& action);
+  void process(std::size_t node, unsigned incarnation, const Action& action);
+  bool isProcessingDelayed(std::size_t node) const;
   void startNode(std::size_t node);
-  void tickNode(std::size_t node, unsigned life);
-  void readHolders(std::size_t node, unsigned life);
+  void tickNode(std::size_t node, unsigned incarnation);
+  void readHolders(std::size_t node, unsigned incarnation);
   EntryCore::Ports ports(std::size_t node);
   EntryCore::Links links(std::size_t node);
   EntryCore::Clocks clocks(std::size_t node);
-  /// Whether the first regards its connection to the other as up.
-  bool areLinked(std::size_t node, std::size_t other) const;
-  /// 0 for none.
+  /// Whether the first daemon regards its connection to the other one as up.
+  bool isConnected(std::size_t node, std::size_t other) const;
+  /// Number of the connection that a daemon has to another one; 0 for none.
   ConnectionNumber connection(std::size_t node, std::size_t other) const;
-  bool isCut(std::size_t a, std::size_t b) const;
+  bool isPartitioned(std::size_t a, std::size_t b) const;
   bool reachesWorker(std::size_t node, const Worker& worker) const;
-  void unlink(std::size_t a, std::size_t b, Duration noticed);
-  void unlinkAll(std::size_t node, Duration noticed);
-  void loseEnd(const End& end, ConnectionNumber number, PeerLoss loss);
-  void loseEnd(const End& end, PeerLoss loss);
+  void disconnect(std::size_t a, std::size_t b, Duration detectionDelay);
+  void disconnectAll(std::size_t node, Duration detectionDelay);
+  void closeEnd(const ConnectionEnd& end,
+                ConnectionNumber number,
+                PeerLoss loss);
+  void closeEnd(const ConnectionEnd& end, PeerLoss loss);
   void connectDaemons();
   void connect(std::size_t a, std::size_t b);
-  void openEnd(const End& end, ConnectionNumber number);
+  void openEnd(const ConnectionEnd& end, ConnectionNumber number);
   bool isConnecting(std::size_t a, std::size_t b) const;
   void closeHalfOpen(std::size_t a, std::size_t b);
   void stopNode(std::size_t node);
 
-  /// How long a message takes through a link that is busy until then.
-  Duration transit(TimePoint& busyUntil, std::size_t bytes) const;
+  /// How long a message takes through a link that is busy until `busyUntil`,
+  /// which moves on.
+  Duration transferTime(TimePoint& busyUntil, std::size_t bytes) const;
   Duration sendTime(std::size_t node, std::size_t bytes);
   Duration receiveTime(std::size_t node, std::size_t bytes);
   Worker* findWorker(const WorkerId& id);
   template<class Order, class Answer>
-  void order(std::size_t node,
-             const WorkerRecord& record,
-             const Order& order,
-             Duration timeout,
-             std::function<void(const Answer&)> done,
-             std::function<Answer(Worker&, const Order&)> carryOut);
-  void holdOrder(std::size_t node,
+  void sendOrder(std::size_t node,
                  const WorkerRecord& record,
-                 const HoldOrder& order,
+                 const Order& order,
                  Duration timeout,
-                 const std::function<void(const HoldAnswer&)>& done);
+                 std::function<void(const Answer&)> done,
+                 std::function<Answer(Worker&, const Order&)> carryOut);
+  void sendHoldOrder(std::size_t node,
+                     const WorkerRecord& record,
+                     const HoldOrder& order,
+                     Duration timeout,
+                     const std::function<void(const HoldAnswer&)>& done);
   OrderAnswer carryOutStart(Worker& worker, const StartOrder& order);
   OrderAnswer carryOutStop(Worker& worker, const StopOrder& order);
-  void endRun(const WorkerId& id, unsigned life, const RunKey& key, RunEnd end);
-  void answerParked(Worker& worker);
-  void checkWorker(const Worker& worker, const RunKey& started);
+  void endRun(const WorkerId& id,
+              unsigned incarnation,
+              const RunKey& key,
+              RunEnd end);
+  void answerPendingHolds(Worker& worker);
+  void checkStart(const Worker& worker, const RunKey& started);
   void tickWorkers();
 
-  void renew(std::size_t worker);
-  void beginLife(std::size_t worker, const WorkerId& id);
-  void readList(std::size_t node);
-  void readListsLater();
+  void replaceWorker(std::size_t worker);
+  void startWorker(std::size_t worker, const WorkerId& id);
+  void readWorkerList(std::size_t node);
+  void scheduleWorkerListReads();
   void evacuationsChanged();
   void readEvacuations(std::size_t node);
   void checkEvacuation(const Worker& worker, const RunKey& started);
-  void submitLater();
-  void submitNew();
+  void scheduleNextSubmission();
+  void submitNewJob();
   void submit(const JobId& job, std::size_t daemon);
-  void callerBroken(std::size_t daemon);
-  void submitAgain(const JobId& job);
+  void resubmitJobsOf(std::size_t daemon);
+  void scheduleResubmission(const JobId& job);
   void answered(const JobId& job, unsigned attempt, const JobAnswer& answer);
-  WorkerList list() const;
-  double chance() { return std::uniform_real_distribution<>(0, 1)(m_random); }
-  std::size_t below(std::size_t bound)
+  WorkerList workerList() const;
+  double randomFraction()
+  {
+    return std::uniform_real_distribution<>(0, 1)(m_random);
+  }
+  std::size_t randomBelow(std::size_t bound)
   {
     return std::uniform_int_distribution<std::size_t>(0, bound - 1)(m_random);
   }
-  void violated(const std::string& what);
+  void recordViolation(const std::string& what);
 
   const Settings m_settings;
   std::mt19937_64 m_random;
@@ -295,16 +330,17 @@
   std::vector<Node> m_nodes;
   std::map<VmId, std::size_t> m_nodeOf;
   std::vector<Worker> m_workers;
-  std::map<End, ConnectionNumber> m_ends;
+  std::map<ConnectionEnd, ConnectionNumber> m_ends;
   ConnectionNumber m_lastConnection = 0;
-  /// The lives of daemons that open a connection.
-  std::map<End, std::pair<unsigned, unsigned>> m_connecting;
-  std::map<unsigned, TimePoint> m_zoneCutUntil;
+  /// The incarnations of the two daemons of each connection that is being
+  /// opened.
+  std::map<ConnectionEnd, std::pair<unsigned, unsigned>> m_connecting;
+  std::map<unsigned, TimePoint> m_zonePartitionedUntil;
   TimePoint m_startsDelayedUntil{};
-  Duration m_startLag = Duration::zero();
-  std::map<ShardId, PublishedHolder> m_published;
+  Duration m_startDelay = Duration::zero();
+  std::map<ShardId, PublishedHolder> m_publishedHolders;
   Evacuations m_evacuations;
-  /// Since when each zone is evacuated.
+  /// Since when each evacuated zone is evacuated.
   std::map<unsigned, TimePoint> m_evacuatedSince;
   std::map<unsigned, unsigned> m_startedInZone;
   unsigned m_listedPerZone = 0;
--- a/tests/entry/simulation_test.cpp
+++ b/tests/entry/simulation_test.cpp
@@ -1,4 +1,4 @@
-#include "troubles.h"
+#include "faultscenario.h"
 
 #include <gtest/gtest.h>
 
@@ -20,7 +20,7 @@
     ADD_FAILURE() << violation;
 }
 
-TEST(DaemonGroup, ServesEverythingOnACalmDay)
+TEST(DaemonGroup, CompletesAllJobsWithoutFaults)
 {
   Simulation::Settings settings;
   settings.hasFailures = false;
@@ -47,10 +47,10 @@
     EXPECT_EQ(count, 1) << shard.toString();
 }
 
-/// Zones of many small machines: their links carry what four busy workers
-/// need, and one holder of a zone's 24 workers filled its link. Orders and
-/// answers that queued in it counted as lost and were sent again, so that a
-/// calm load was served to a fiftieth, from its first second to its last.
+/// Zones of many small machines. Each link carries what four busy workers need,
+/// and a single holder of a zone's 24 workers would fill its link. Orders and
+/// answers that queue in a full link count as lost and are sent again, so that
+/// only a fiftieth of a normal load was served.
 Simulation::Settings
 withSlowLinks()
 {
@@ -59,11 +59,11 @@
   settings.workersPerZone = 24;
   settings.jobsPerSecond = 80;
   settings.hasFailures = false;
-  settings.linkMegabits = 1;
+  settings.linkMegabitsPerSecond = 1;
   return settings;
 }
 
-TEST(DaemonGroup, ServesACalmLoadOverSlowLinks)
+TEST(DaemonGroup, CompletesANormalLoadOverSlowLinks)
 {
   Simulation simulation(withSlowLinks(), 1);
   simulation.runFor(seconds(20));
@@ -72,7 +72,7 @@
             simulation.submitted() * 97 / 100);
 }
 
-TEST(DaemonGroup, SharesAZoneOutByWhatItsWeakestLinkCarries)
+TEST(DaemonGroup, DividesAZoneByTheCapacityOfItsSlowestLink)
 {
   Simulation simulation(withSlowLinks(), 2);
   simulation.runFor(seconds(3));
@@ -82,12 +82,13 @@
     EXPECT_LE(shards.size(), 1u) << daemon;
     held.insert(shards.begin(), shards.end());
   }
-  EXPECT_EQ(held.size(), 16u) << "eight of each zone";
+  EXPECT_EQ(held.size(), 16u) << "eight shards in each zone";
 }
 
-/// Twelve holders in a burst that fills all workers: places come and go with
-/// each task, and each holder told all others at each change.
-TEST(DaemonGroup, WhatAHolderTellsOfItsPlacesIsBounded)
+/// Guards against heartbeats at each change of the free places: twelve holders
+/// in a burst of jobs that fills all workers, whose free places change with
+/// each task, told all other daemons of each change.
+TEST(DaemonGroup, LimitsHeartbeatsAboutFreePlaces)
 {
   Simulation::Settings settings;
   settings.zones = 6;
@@ -98,16 +99,16 @@
   simulation.runFor(seconds(1));
   std::vector<unsigned> before;
   for (std::size_t daemon = 0; daemon < simulation.daemons(); ++daemon)
-    before.push_back(simulation.beats(daemon));
+    before.push_back(simulation.heartbeats(daemon));
   simulation.runFor(seconds(1));
   for (std::size_t daemon = 0; daemon < simulation.daemons(); ++daemon)
-    EXPECT_LE(simulation.beats(daemon) - before[daemon], 200u) << daemon;
+    EXPECT_LE(simulation.heartbeats(daemon) - before[daemon], 200u) << daemon;
 }
 
-/// Heartbeats that the busiest daemon sends in a second, with as many jobs and
-/// workers a daemon at each size.
+/// Heartbeats that the busiest daemon sends in a second. The number of jobs and
+/// workers per daemon is the same at each group size.
 unsigned
-mostBeats(unsigned daemonsPerZone)
+maxHeartbeats(unsigned daemonsPerZone)
 {
   Simulation::Settings settings;
   settings.zones = 3;
@@ -119,72 +120,74 @@
   simulation.runFor(milliseconds(1500));
   std::vector<unsigned> before;
   for (std::size_t daemon = 0; daemon < simulation.daemons(); ++daemon)
-    before.push_back(simulation.beats(daemon));
+    before.push_back(simulation.heartbeats(daemon));
   simulation.runFor(seconds(1));
   unsigned most = 0;
   for (std::size_t daemon = 0; daemon < simulation.daemons(); ++daemon)
-    most = std::max(most, simulation.beats(daemon) - before[daemon]);
+    most = std::max(most, simulation.heartbeats(daemon) - before[daemon]);
   expectNoViolations(simulation);
   return most;
 }
 
-/// At a power of 0.2 what a daemon sends grows by a quarter where the group
-/// grows threefold.
-TEST(DaemonGroup, WhatADaemonSendsHardlyGrowsWithTheGroup)
+/// Guards against heartbeats that grow with the group. In a group of three
+/// times the size a daemon may send a quarter more, which is growth to the
+/// power of 0.2.
+TEST(DaemonGroup, HeartbeatsPerDaemonHardlyGrowWithTheGroup)
 {
-  const unsigned atNinety = mostBeats(30);
-  EXPECT_LE(mostBeats(90), atNinety * 5 / 4);
+  const unsigned heartbeatsAt90 = maxHeartbeats(30);
+  EXPECT_LE(maxHeartbeats(90), heartbeatsAt90 * 5 / 4);
 }
 
-/// What the daemons of a group have sent: the heartbeats of each, and messages
-/// of other kinds in all.
-struct Sent
+/// What the daemons of a group have sent: the heartbeats of each daemon, and
+/// the other kinds of messages of all daemons together.
+struct MessageCounts
 {
-  std::vector<unsigned> beats;
+  std::vector<unsigned> heartbeats;
   unsigned acks = 0;
   unsigned submits = 0;
   unsigned keeps = 0;
   unsigned recalls = 0;
 
-  unsigned mostBeats() const
+  unsigned maxHeartbeats() const
   {
-    return *std::max_element(beats.begin(), beats.end());
+    return *std::max_element(heartbeats.begin(), heartbeats.end());
   }
-  unsigned allBeats() const
+  unsigned totalHeartbeats() const
   {
-    return std::accumulate(beats.begin(), beats.end(), 0u);
+    return std::accumulate(heartbeats.begin(), heartbeats.end(), 0u);
   }
 };
 
-Sent
-sentUntilNow(const Simulation& simulation)
+MessageCounts
+countMessages(const Simulation& simulation)
 {
-  Sent sent;
+  MessageCounts counts;
   for (std::size_t daemon = 0; daemon < simulation.daemons(); ++daemon) {
-    sent.beats.push_back(simulation.beats(daemon));
-    sent.acks += simulation.sent<PeerBeatAck>(daemon);
-    sent.submits += simulation.sent<PeerSubmit>(daemon);
-    sent.keeps += simulation.sent<PeerKeep>(daemon);
-    sent.recalls += simulation.sent<PeerRecall>(daemon);
+    counts.heartbeats.push_back(simulation.heartbeats(daemon));
+    counts.acks += simulation.messagesSent<PeerBeatAck>(daemon);
+    counts.submits += simulation.messagesSent<PeerSubmit>(daemon);
+    counts.keeps += simulation.messagesSent<PeerKeep>(daemon);
+    counts.recalls += simulation.messagesSent<PeerRecall>(daemon);
   }
-  return sent;
+  return counts;
 }
 
-Sent
-operator-(Sent sent, const Sent& before)
+MessageCounts
+operator-(MessageCounts counts, const MessageCounts& before)
 {
-  for (std::size_t daemon = 0; daemon < sent.beats.size(); ++daemon)
-    sent.beats[daemon] -= before.beats[daemon];
-  sent.acks -= before.acks;
-  sent.submits -= before.submits;
-  sent.keeps -= before.keeps;
-  sent.recalls -= before.recalls;
-  return sent;
+  for (std::size_t daemon = 0; daemon < counts.heartbeats.size(); ++daemon)
+    counts.heartbeats[daemon] -= before.heartbeats[daemon];
+  counts.acks -= before.acks;
+  counts.submits -= before.submits;
+  counts.keeps -= before.keeps;
+  counts.recalls -= before.recalls;
+  return counts;
 }
 
-/// What a calm group sends in some seconds once all daemons are connected.
-Sent
-sentInCalm(unsigned daemonsPerZone, bool hasLongTasks)
+/// What a group sends in five seconds without faults, after all daemons have
+/// connected.
+MessageCounts
+countMessagesUnderNormalLoad(unsigned daemonsPerZone, bool hasLongTasks)
 {
   Simulation::Settings settings;
   settings.zones = 3;
@@ -193,47 +196,48 @@
   settings.jobsPerSecond = daemonsPerZone * 3;
   settings.hasFailures = false;
   settings.hasLongTasks = hasLongTasks;
-  settings.longestTaskMs = 3500;
+  settings.maxTaskMs = 3500;
   Simulation simulation(settings, 1);
   simulation.runFor(seconds(3));
-  const Sent before = sentUntilNow(simulation);
+  const MessageCounts before = countMessages(simulation);
   simulation.runFor(seconds(5));
   expectNoViolations(simulation);
-  return sentUntilNow(simulation) - before;
+  return countMessages(simulation) - before;
 }
 
-class CostOfLongJobs : public ::testing::TestWithParam<unsigned>
+class LongJobTraffic : public ::testing::TestWithParam<unsigned>
 {};
 
-/// Guards against heartbeats that are sent for the sake of long jobs or
-/// acknowledged more than once for it and once in their turn, against keeps
-/// that are sent again, and against recalls where no caller comes twice.
-TEST_P(CostOfLongJobs, IsNoHeartbeatsAndOneKeepForEachPart)
+/// Guards against extra heartbeats because of long jobs, against heartbeats
+/// that are acknowledged more than twice, once for long jobs and once in their
+/// turn, against repeated keep messages, and against recalls although no caller
+/// submits a job twice.
+TEST_P(LongJobTraffic, IsOneKeepPerPartAndNoExtraHeartbeats)
 {
-  const Sent without = sentInCalm(GetParam(), false);
-  const Sent with = sentInCalm(GetParam(), true);
-  RecordProperty("beats", std::to_string(without.allBeats()));
-  RecordProperty("beatsWithLongJobs", std::to_string(with.allBeats()));
+  const MessageCounts without = countMessagesUnderNormalLoad(GetParam(), false);
+  const MessageCounts with = countMessagesUnderNormalLoad(GetParam(), true);
+  RecordProperty("beats", std::to_string(without.totalHeartbeats()));
+  RecordProperty("beatsWithLongJobs", std::to_string(with.totalHeartbeats()));
   RecordProperty("acks", std::to_string(without.acks));
   RecordProperty("acksWithLongJobs", std::to_string(with.acks));
   RecordProperty("submitsWithLongJobs", std::to_string(with.submits));
   RecordProperty("keepsWithLongJobs", std::to_string(with.keeps));
-  EXPECT_LE(with.mostBeats(), without.mostBeats() * 5 / 4);
-  EXPECT_LE(with.allBeats(), without.allBeats() * 5 / 4);
-  EXPECT_LE(with.acks, 2 * with.allBeats());
+  EXPECT_LE(with.maxHeartbeats(), without.maxHeartbeats() * 5 / 4);
+  EXPECT_LE(with.totalHeartbeats(), without.totalHeartbeats() * 5 / 4);
+  EXPECT_LE(with.acks, 2 * with.totalHeartbeats());
   EXPECT_GT(with.keeps, 0u);
   EXPECT_LE(with.keeps, with.submits);
   EXPECT_EQ(with.recalls + without.recalls, 0u);
 }
 
-/// Daemons a zone: all are sent a heartbeat in each interval, or only some.
+/// Daemons per zone. With 4, each daemon sends a heartbeat to all others in
+/// each interval; with 25, only to some of them.
 INSTANTIATE_TEST_SUITE_P(GroupSizes,
-                         CostOfLongJobs,
+                         LongJobTraffic,
                          ::testing::Values(4u, 25u));
 
-/// Zones of one daemon each.
 Simulation::Settings
-withLoneDaemons()
+withSingleDaemonZones()
 {
   Simulation::Settings settings;
   settings.daemonsPerZone = 1;
@@ -242,9 +246,9 @@
   return settings;
 }
 
-TEST(DaemonGroup, AnotherZoneTakesOverWhereTheLastDaemonLeaves)
+TEST(DaemonGroup, AnotherZoneTakesOverWhenTheLastDaemonLeaves)
 {
-  Simulation simulation(withLoneDaemons(), 3);
+  Simulation simulation(withSingleDaemonZones(), 3);
   simulation.runFor(seconds(3));
   const unsigned refused = simulation.refused();
   simulation.leave(0);
@@ -254,29 +258,29 @@
   EXPECT_EQ(simulation.refused(), refused);
   simulation.runFor(seconds(8));
   EXPECT_EQ(simulation.core(0).heldShards().size(), 1u)
-    << "given back to the zone's next daemon";
+    << "the zone's restarted daemon takes the shard back";
   expectNoViolations(simulation);
 }
 
-TEST(DaemonGroup, AnotherZoneTakesOverWhereTheLastDaemonIsLost)
+TEST(DaemonGroup, AnotherZoneTakesOverWhenTheLastDaemonIsLost)
 {
-  Simulation simulation(withLoneDaemons(), 3);
+  Simulation simulation(withSingleDaemonZones(), 3);
   simulation.runFor(seconds(3));
   simulation.powerOff(0, seconds(6));
   simulation.runFor(milliseconds(1500));
   EXPECT_EQ(simulation.core(1).heldShards().size(), 2u);
   simulation.runFor(seconds(8));
   EXPECT_EQ(simulation.core(0).heldShards().size(), 1u)
-    << "given back to the zone's next daemon";
+    << "the zone's restarted daemon takes the shard back";
   expectNoViolations(simulation);
 }
 
-TEST(DaemonGroup, ADaemonThatOnlyOthersCannotReachKeepsItsWorkers)
+TEST(DaemonGroup, ADaemonThatIsPartitionedFromOtherDaemonsKeepsItsWorkers)
 {
-  Simulation simulation(withLoneDaemons(), 3);
+  Simulation simulation(withSingleDaemonZones(), 3);
   simulation.runFor(seconds(3));
   const unsigned completed = simulation.completed();
-  simulation.cutOff(0, seconds(5));
+  simulation.partitionDaemon(0, seconds(5));
   for (int i = 0; i < 50; ++i) {
     simulation.runFor(milliseconds(100));
     EXPECT_EQ(simulation.core(0).heldShards().size(), 1u) << i;
@@ -285,7 +289,7 @@
   expectNoViolations(simulation);
 }
 
-TEST(DaemonGroup, AnEvacuatedZonesCallersAreServedByOtherZones)
+TEST(DaemonGroup, OtherZonesServeTheCallersOfAnEvacuatedZone)
 {
   Simulation simulation(withRoomToEvacuate(), 4);
   simulation.runFor(seconds(3));
@@ -305,10 +309,10 @@
   expectNoViolations(simulation);
 }
 
-TEST(DaemonGroup, ADaemonThatCannotReadThePlatformHearsOfEvacuationsFromOthers)
+TEST(DaemonGroup, ADaemonThatCannotReadThePlatformLearnsOfEvacuationsFromOthers)
 {
   Simulation::Settings settings = withRoomToEvacuate();
-  settings.uninformedDaemons = settings.daemonsPerZone;
+  settings.daemonsWithoutEvacuationReads = settings.daemonsPerZone;
   Simulation simulation(settings, 5);
   simulation.runFor(seconds(3));
   simulation.evacuate(0);
@@ -320,7 +324,7 @@
   expectNoViolations(simulation);
 }
 
-TEST(DaemonGroup, WhereAllZonesAreEvacuatedCallersAreRefusedAtOnce)
+TEST(DaemonGroup, CallersAreRefusedAtOnceWhileAllZonesAreEvacuated)
 {
   Simulation simulation(withRoomToEvacuate(), 6);
   simulation.runFor(seconds(3));
--- a/tests/entry/simulationcallers.cpp
+++ b/tests/entry/simulationcallers.cpp
@@ -9,33 +9,33 @@
 
 using std::chrono::milliseconds;
 
-/// When a caller whose connection broke, or that isn't told what has become of
-/// its job, submits again.
-constexpr Duration resendAfter = milliseconds(1300);
-/// How often a returning caller submits a job.
-constexpr unsigned mostAttempts = 5;
+/// Time after which a caller submits its job again, if its connection broke or
+/// the outcome of the job is unknown.
+constexpr Duration resubmitDelay = milliseconds(1300);
+/// How often a caller submits a job, the first submission included.
+constexpr unsigned maxSubmissions = 5;
 
 } // namespace
 
 void
-Simulation::submitLater()
+Simulation::scheduleNextSubmission()
 {
   const double seconds =
     std::exponential_distribution<>(m_settings.jobsPerSecond)(m_random);
-  at(Duration(std::int64_t(seconds * 1e6)), [this] {
-    submitNew();
-    submitLater();
+  schedule(Duration(std::int64_t(seconds * 1e6)), [this] {
+    submitNewJob();
+    scheduleNextSubmission();
   });
 }
 
 void
-Simulation::submitNew()
+Simulation::submitNewJob()
 {
   const JobId job("job" + std::to_string(++m_lastJob));
-  const bool isLong = below(5) == 0 && m_settings.hasLongTasks;
-  const unsigned taskMs =
-    isLong ? 500 + below(m_settings.longestTaskMs - 500) : 40 + below(160);
-  const std::int64_t cpu = 5000 + std::int64_t(below(4000));
+  const bool isLong = randomBelow(5) == 0 && m_settings.hasLongTasks;
+  const unsigned taskMs = isLong ? 500 + randomBelow(m_settings.maxTaskMs - 500)
+                                 : 40 + randomBelow(160);
+  const std::int64_t cpu = 5000 + std::int64_t(randomBelow(4000));
   Caller caller;
   caller.submission.job = job;
   caller.submission.policy.queue = taskMs < 300 ? "short" : "long";
@@ -47,11 +47,11 @@
   caller.submission.needs.estimate = milliseconds(taskMs);
   caller.submission.spec = std::to_string(taskMs) + "," + std::to_string(cpu);
   caller.submission.taskPrefix = job.value() + ".0.0.";
-  caller.submission.taskCount = 1 + static_cast<unsigned>(below(6));
+  caller.submission.taskCount = 1 + static_cast<unsigned>(randomBelow(6));
   caller.submission.timeLeft = milliseconds(5 * (2 * taskMs + 60));
   m_callers[job] = caller;
   ++m_submitted;
-  submit(job, below(m_nodes.size()));
+  submit(job, randomBelow(m_nodes.size()));
 }
 
 void
@@ -67,60 +67,63 @@
     daemon = (daemon + 1) % m_nodes.size();
   }
   caller.daemon = daemon;
-  caller.daemonLife = m_nodes[daemon].life;
+  caller.daemonIncarnation = m_nodes[daemon].incarnation;
   caller.isWaiting = true;
   caller.ticket = std::make_shared<Gateway::Ticket>(0);
   const unsigned attempt = ++caller.attempt;
   const auto done = [this, job, attempt](const JobAnswer& answer) {
-    at(oneWay,
-       [this, job, attempt, answer] { answered(job, attempt, answer); });
+    schedule(oneWayDelay,
+             [this, job, attempt, answer] { answered(job, attempt, answer); });
   };
-  onNode(daemon,
-         caller.daemonLife,
-         [this,
-          daemon,
-          submission = caller.submission,
-          ticket = caller.ticket,
-          done] { *ticket = m_nodes[daemon].core->submit(submission, done); });
+  deliver(daemon,
+          caller.daemonIncarnation,
+          [this,
+           daemon,
+           submission = caller.submission,
+           ticket = caller.ticket,
+           done] { *ticket = m_nodes[daemon].core->submit(submission, done); });
 }
 
 void
-Simulation::loseCallers(std::size_t daemon, Duration lag)
+Simulation::disconnectCallers(std::size_t daemon, Duration detectionDelay)
 {
   if (!m_nodes[daemon].isAlive)
     return;
   for (const auto& [job, caller] : m_callers) {
     if (!caller.isWaiting || caller.daemon != daemon)
       continue;
-    at(oneWay + lag,
-       [this, daemon, life = caller.daemonLife, ticket = caller.ticket] {
-         onNode(daemon, life, [this, daemon, ticket] {
-           m_nodes[daemon].core->callerGone(*ticket);
-         });
-       });
+    schedule(oneWayDelay + detectionDelay,
+             [this,
+              daemon,
+              incarnation = caller.daemonIncarnation,
+              ticket = caller.ticket] {
+               deliver(daemon, incarnation, [this, daemon, ticket] {
+                 m_nodes[daemon].core->callerGone(*ticket);
+               });
+             });
   }
-  callerBroken(daemon);
+  resubmitJobsOf(daemon);
 }
 
-/// The callers of a daemon submit again at any.
+/// The callers that wait at a daemon submit their jobs again, at any daemon.
 void
-Simulation::callerBroken(std::size_t daemon)
+Simulation::resubmitJobsOf(std::size_t daemon)
 {
   for (auto& [job, caller] : m_callers) {
     if (!caller.isWaiting || caller.daemon != daemon)
       continue;
     caller.isWaiting = false;
     caller.wasAlwaysRefused = false;
-    submitAgain(job);
+    scheduleResubmission(job);
   }
 }
 
 void
-Simulation::submitAgain(const JobId& job)
+Simulation::scheduleResubmission(const JobId& job)
 {
-  at(resendAfter, [this, job] {
+  schedule(resubmitDelay, [this, job] {
     if (m_callers.count(job) > 0)
-      submit(job, below(m_nodes.size()));
+      submit(job, randomBelow(m_nodes.size()));
   });
 }
 
@@ -149,13 +152,13 @@
       ++m_refused;
       caller.isRefused = caller.wasAlwaysRefused;
       if (caller.wasAlwaysRefused && caller.hasStarted)
-        violated("refused though it had run: " + job.value());
+        recordViolation("refused though it had run: " + job.value());
       return;
     case JobAnswer::Kind::Unknown:
       ++m_unknown;
       caller.wasAlwaysRefused = false;
-      if (m_settings.hasReturningCallers && caller.attempt < mostAttempts)
-        submitAgain(job);
+      if (m_settings.hasResubmittingCallers && caller.attempt < maxSubmissions)
+        scheduleResubmission(job);
       else
         m_callers.erase(found);
       return;
--- a/tests/entry/simulationdaemons.cpp
+++ b/tests/entry/simulationdaemons.cpp
@@ -9,79 +9,89 @@
 
 using std::chrono::milliseconds;
 
-/// How long after its start a daemon has read the store, and how often it does
-/// so later.
-constexpr Duration storeRead = milliseconds(15);
-constexpr Duration watchfulReads = milliseconds(900);
-constexpr Duration laterReads = milliseconds(2000);
+/// How long after its start a daemon reads the holders' entries at the platform
+/// for the first time, and the intervals at which it reads them later.
+constexpr Duration initialReadDelay = milliseconds(15);
+constexpr Duration frequentReadInterval = milliseconds(900);
+constexpr Duration regularReadInterval = milliseconds(2000);
 constexpr const char* configuration = "1";
 
 } // namespace
 
 void
-Simulation::readList(std::size_t node)
+Simulation::readWorkerList(std::size_t node)
 {
-  onNode(node, m_nodes[node].life, [this, node] {
-    m_nodes[node].core->workersRead(list());
+  deliver(node, m_nodes[node].incarnation, [this, node] {
+    m_nodes[node].core->workersRead(workerList());
   });
 }
 
-/// Each daemon reads the list of workers at a time of its own.
+/// Each daemon reads the list of workers after a random delay of its own.
 void
-Simulation::readListsLater()
+Simulation::scheduleWorkerListReads()
 {
-  const auto lag = static_cast<std::size_t>(toMilliseconds(m_settings.listLag));
+  const auto maxDelayMs =
+    static_cast<std::size_t>(toMilliseconds(m_settings.maxReadDelay));
   for (std::size_t node = 0; node < m_nodes.size(); ++node)
-    at(milliseconds(below(lag)), [this, node] { readList(node); });
+    schedule(milliseconds(randomBelow(maxDelayMs)),
+             [this, node] { readWorkerList(node); });
 }
 
 void
 Simulation::readEvacuations(std::size_t node)
 {
-  if (node < m_settings.uninformedDaemons)
+  if (node < m_settings.daemonsWithoutEvacuationReads)
     return;
-  onNode(node, m_nodes[node].life, [this, node] {
+  deliver(node, m_nodes[node].incarnation, [this, node] {
     m_nodes[node].core->evacuationsRead(m_evacuations);
   });
 }
 
 void
-Simulation::onNode(std::size_t index, unsigned life, const Action& action)
+Simulation::deliver(std::size_t index,
+                    unsigned incarnation,
+                    const Action& action)
 {
-  if (!isBehind(index)) {
-    handle(index, life, action);
+  if (!isProcessingDelayed(index)) {
+    process(index, incarnation, action);
     return;
   }
   Node& node = m_nodes[index];
-  node.handlesUntil = std::max(node.handlesUntil, m_now + node.lag.at(m_now));
-  at(node.handlesUntil - m_now,
-     [this, index, life, action] { handle(index, life, action); });
+  node.processingUntil =
+    std::max(node.processingUntil, m_now + node.processingDelay.at(m_now));
+  schedule(node.processingUntil - m_now, [this, index, incarnation, action] {
+    process(index, incarnation, action);
+  });
 }
 
 void
-Simulation::handle(std::size_t index, unsigned life, const Action& action)
+Simulation::process(std::size_t index,
+                    unsigned incarnation,
+                    const Action& action)
 {
   Node& node = m_nodes[index];
-  if (!node.isAlive || node.life != life)
+  if (!node.isAlive || node.incarnation != incarnation)
     return;
   if (node.isFrozen)
-    node.waiting.push_back(
-      [this, index, life, action] { handle(index, life, action); });
+    node.deferred.push_back([this, index, incarnation, action] {
+      process(index, incarnation, action);
+    });
   else
     action();
 }
 
 bool
-Simulation::isBehind(std::size_t index) const
+Simulation::isProcessingDelayed(std::size_t index) const
 {
   const Node& node = m_nodes[index];
-  return node.handlesUntil >= m_now || node.lag.at(m_now) > Duration::zero();
+  return node.processingUntil >= m_now ||
+         node.processingDelay.at(m_now) > Duration::zero();
 }
 
 void
-Simulation::runBehind(std::size_t daemon, const Ramp::Shape& lag)
+Simulation::delayProcessing(std::size_t daemon, const Ramp::Shape& delay)
 {
-  m_nodes[daemon].lag = Ramp(lag, m_now);
+  m_nodes[daemon].processingDelay = Ramp(delay, m_now);
 }
 
 void
@@ -90,58 +100,61 @@
   Node& node = m_nodes[index];
   if (node.isAlive)
     return;
-  ++node.life;
+  ++node.incarnation;
   node.isAlive = true;
   node.isFrozen = false;
-  node.waiting.clear();
-  node.knownBeats.clear();
+  node.deferred.clear();
+  node.seenHeartbeats.clear();
   EntryCore::Settings settings;
   settings.vm = node.id;
   settings.zone = ZoneName("z" + std::to_string(node.zone));
-  if (m_settings.isLinkKnown)
-    settings.limits.megabitsPerSecond = m_settings.linkMegabits;
+  if (m_settings.isLinkRateKnown)
+    settings.limits.megabitsPerSecond = m_settings.linkMegabitsPerSecond;
   node.core = std::make_unique<EntryCore>(
     settings, ports(index), links(index), clocks(index));
   readEvacuations(index);
   node.core->configurationRead(configuration);
-  node.core->workersRead(list());
-  at(storeRead, [this, index, life = node.life] { readHolders(index, life); });
-  tickNode(index, node.life);
+  node.core->workersRead(workerList());
+  schedule(initialReadDelay, [this, index, incarnation = node.incarnation] {
+    readHolders(index, incarnation);
+  });
+  tickNode(index, node.incarnation);
 }
 
-/// At the start, and as often as the daemon asks for it, it reads who holds
-/// what at the platform.
+/// Lets the daemon read which holder each shard has by the platform's entries:
+/// after its start, and then at the interval that the daemon asks for.
 void
-Simulation::readHolders(std::size_t index, unsigned life)
+Simulation::readHolders(std::size_t index, unsigned incarnation)
 {
-  if (!m_nodes[index].isAlive || m_nodes[index].life != life)
+  if (!m_nodes[index].isAlive || m_nodes[index].incarnation != incarnation)
     return;
-  onNode(index, life, [this, index] {
+  deliver(index, incarnation, [this, index] {
     Node& node = m_nodes[index];
     FencingToken highest = 0;
-    for (const auto& [shard, published] : m_published) {
+    for (const auto& [shard, published] : m_publishedHolders) {
       highest = std::max(highest, published.token);
       node.core->lastHolderRead(shard, published.holder);
-      unsigned& known = node.knownBeats[shard];
-      if (known != 0 && known != published.beats)
+      unsigned& known = node.seenHeartbeats[shard];
+      if (known != 0 && known != published.heartbeats)
         node.core->holderRead(shard, published.holder);
-      known = published.beats;
+      known = published.heartbeats;
     }
     node.core->holdersRead(highest);
   });
-  const bool isWatchful = m_nodes[index].core->needsHolderReads();
-  at(isWatchful ? watchfulReads : laterReads,
-     [this, index, life] { readHolders(index, life); });
+  const bool needsFrequentReads = m_nodes[index].core->needsHolderReads();
+  schedule(needsFrequentReads ? frequentReadInterval : regularReadInterval,
+           [this, index, incarnation] { readHolders(index, incarnation); });
 }
 
 void
-Simulation::tickNode(std::size_t index, unsigned life)
+Simulation::tickNode(std::size_t index, unsigned incarnation)
 {
-  if (!m_nodes[index].isAlive || m_nodes[index].life != life)
+  if (!m_nodes[index].isAlive || m_nodes[index].incarnation != incarnation)
     return;
-  onNode(index, life, [this, index, life] {
+  deliver(index, incarnation, [this, index, incarnation] {
     m_nodes[index].core->tick();
-    at(tickInterval, [this, index, life] { tickNode(index, life); });
+    schedule(tickInterval,
+             [this, index, incarnation] { tickNode(index, incarnation); });
   });
 }
 
@@ -152,9 +165,9 @@
   clocks.steady = [this] { return m_now; };
   clocks.sinceBoot = [this] { return m_now.time_since_epoch(); };
   clocks.timeOfDay = [this] {
-    return firstTimeOfDayMs + toMilliseconds(m_now.time_since_epoch());
+    return initialTimeOfDayMs + toMilliseconds(m_now.time_since_epoch());
   };
-  clocks.processNumber = node * 100 + m_nodes[node].life;
+  clocks.processNumber = node * 100 + m_nodes[node].incarnation;
   return clocks;
 }
 
@@ -163,18 +176,18 @@
 {
   m_nodes[node].isAlive = false;
   m_nodes[node].isFrozen = false;
-  m_nodes[node].waiting.clear();
-  m_nodes[node].lag = Ramp();
-  m_nodes[node].handlesUntil = {};
-  callerBroken(node);
+  m_nodes[node].deferred.clear();
+  m_nodes[node].processingDelay = Ramp();
+  m_nodes[node].processingUntil = {};
+  resubmitJobsOf(node);
 }
 
 WorkerList
-Simulation::list() const
+Simulation::workerList() const
 {
   WorkerList all;
   for (const Worker& worker : m_workers) {
-    if (worker.fake && worker.position < m_listedPerZone &&
+    if (worker.fake && worker.indexInZone < m_listedPerZone &&
         m_now >= worker.unlistedUntil)
       all[worker.record.id()] = worker.record;
   }
--- a/tests/entry/simulationlinks.cpp
+++ b/tests/entry/simulationlinks.cpp
@@ -9,66 +9,72 @@
 
 using std::chrono::milliseconds;
 
-/// Sizes on the wire, with headers.
-constexpr std::size_t beatBytes = 100;
-constexpr std::size_t jobBytes = 700;
+/// Sizes on the wire in bytes, with headers.
+constexpr std::size_t otherMessageBytes = 100;
+constexpr std::size_t submitMessageBytes = 700;
 
 std::size_t
 wireBytes(const PeerMessage& message)
 {
-  return std::holds_alternative<PeerSubmit>(message) ? jobBytes : beatBytes;
+  return std::holds_alternative<PeerSubmit>(message) ? submitMessageBytes
+                                                     : otherMessageBytes;
 }
 
 } // namespace
 
 void
-Simulation::cutOff(std::size_t daemon, Duration duration)
+Simulation::partitionDaemon(std::size_t daemon, Duration duration)
 {
-  m_nodes[daemon].cutUntil = m_now + duration;
-  at(silenceLimit, [this, daemon] {
-    if (m_now < m_nodes[daemon].cutUntil)
-      unlinkAll(daemon, Duration::zero());
+  m_nodes[daemon].partitionedUntil = m_now + duration;
+  schedule(silenceLimit, [this, daemon] {
+    if (m_now < m_nodes[daemon].partitionedUntil)
+      disconnectAll(daemon, Duration::zero());
   });
 }
 
 void
-Simulation::loseUnevenly(std::size_t daemon, Duration duration, Duration lag)
+Simulation::partitionWithLateDetection(std::size_t daemon,
+                                       Duration duration,
+                                       Duration detectionDelay)
 {
-  m_nodes[daemon].cutUntil = m_now + duration;
+  m_nodes[daemon].partitionedUntil = m_now + duration;
   for (std::size_t other = 0; other < m_nodes.size(); ++other) {
     if (other == daemon)
       continue;
-    const auto lose = [this, daemon](const End& end, ConnectionNumber number) {
-      if (m_now < m_nodes[daemon].cutUntil)
-        loseEnd(end, number, PeerLoss::Silent);
+    const auto close = [this, daemon](const ConnectionEnd& end,
+                                      ConnectionNumber number) {
+      if (m_now < m_nodes[daemon].partitionedUntil)
+        closeEnd(end, number, PeerLoss::Silent);
     };
-    const End far{ other, daemon };
-    const End near{ daemon, other };
+    const ConnectionEnd far{ other, daemon };
+    const ConnectionEnd near{ daemon, other };
     const ConnectionNumber number = connection(daemon, other);
-    at(silenceLimit, [lose, far, number] { lose(far, number); });
-    at(silenceLimit + lag, [lose, near, number] { lose(near, number); });
+    schedule(silenceLimit, [close, far, number] { close(far, number); });
+    schedule(silenceLimit + detectionDelay,
+             [close, near, number] { close(near, number); });
   }
 }
 
 void
-Simulation::cutZone(unsigned zone, Duration duration)
+Simulation::partitionZone(unsigned zone, Duration duration)
 {
-  m_zoneCutUntil[zone] = m_now + duration;
-  at(silenceLimit, [this, zone] {
+  m_zonePartitionedUntil[zone] = m_now + duration;
+  schedule(silenceLimit, [this, zone] {
     for (std::size_t a = 0; a < m_nodes.size(); ++a) {
       for (std::size_t b = 0; b < m_nodes.size(); ++b) {
-        if (m_nodes[a].zone == zone && m_nodes[b].zone != zone && isCut(a, b))
-          unlink(a, b, Duration::zero());
+        if (m_nodes[a].zone == zone && m_nodes[b].zone != zone &&
+            isPartitioned(a, b))
+          disconnect(a, b, Duration::zero());
       }
     }
   });
 }
 
 void
-Simulation::resetLinks()
+Simulation::resetConnections()
 {
   for (std::size_t node = 0; node < m_nodes.size(); ++node)
-    unlinkAll(node, oneWay);
+    disconnectAll(node, oneWayDelay);
 }
 
 EntryCore::Links
@@ -79,24 +85,26 @@
     const auto found = m_nodeOf.find(vm);
     if (found != m_nodeOf.end()) {
       const std::size_t other = found->second;
-      if (!areLinked(node, other))
+      if (!isConnected(node, other))
         return false;
       const VmId from = m_nodes[node].id;
-      const unsigned life = m_nodes[other].life;
+      const unsigned incarnation = m_nodes[other].incarnation;
       const ConnectionNumber number = connection(node, other);
       if (std::holds_alternative<PeerBeat>(message))
-        ++m_nodes[node].beats;
-      ++m_nodes[node].sent[message.index()];
+        ++m_nodes[node].heartbeats;
+      ++m_nodes[node].messagesSent[message.index()];
       const std::size_t bytes = wireBytes(message);
       const Duration delay =
-        oneWay + sendTime(node, bytes) + receiveTime(other, bytes);
-      if (!isCut(node, other))
-        at(delay, [this, node, other, life, number, from, message] {
-          onNode(other, life, [this, node, other, number, from, message] {
-            if (connection(other, node) == number)
-              m_nodes[other].core->received(from, message);
+        oneWayDelay + sendTime(node, bytes) + receiveTime(other, bytes);
+      if (!isPartitioned(node, other))
+        schedule(
+          delay, [this, node, other, incarnation, number, from, message] {
+            deliver(
+              other, incarnation, [this, node, other, number, from, message] {
+                if (connection(other, node) == number)
+                  m_nodes[other].core->received(from, message);
+              });
           });
-        });
       return true;
     }
     return false;
@@ -109,12 +117,12 @@
   links.setClose = [](const VmId&, bool) {};
   links.isUp = [this, node](const VmId& vm) {
     const auto found = m_nodeOf.find(vm);
-    return found != m_nodeOf.end() && areLinked(node, found->second);
+    return found != m_nodeOf.end() && isConnected(node, found->second);
   };
   links.up = [this, node] {
     std::set<VmId> up;
     for (std::size_t other = 0; other < m_nodes.size(); ++other) {
-      if (areLinked(node, other))
+      if (isConnected(node, other))
         up.insert(m_nodes[other].id);
     }
     return up;
@@ -122,23 +130,25 @@
   links.knownCount = [this] { return m_nodes.size() - 1; };
   links.dropAll = [this, node] {
     for (std::size_t other = 0; other < m_nodes.size(); ++other) {
-      if (!areLinked(node, other))
+      if (!isConnected(node, other))
         continue;
-      unlink(other, node, oneWay);
-      if (isBehind(node))
+      disconnect(other, node, oneWayDelay);
+      if (isProcessingDelayed(node))
         m_ends.erase({ node, other });
       m_nodes[node].core->peerDown(m_nodes[other].id, PeerLoss::Closed);
     }
   };
-  links.post = [this, node, life = m_nodes[node].life](const Action& action) {
-    at(Duration::zero(),
-       [this, node, life, action] { onNode(node, life, action); });
+  links.post = [this, node, incarnation = m_nodes[node].incarnation](
+                 const Action& action) {
+    schedule(Duration::zero(), [this, node, incarnation, action] {
+      deliver(node, incarnation, action);
+    });
   };
   return links;
 }
 
 bool
-Simulation::areLinked(std::size_t node, std::size_t other) const
+Simulation::isConnected(std::size_t node, std::size_t other) const
 {
   return connection(node, other) != 0;
 }
@@ -151,70 +161,76 @@
 }
 
 bool
-Simulation::isCut(std::size_t a, std::size_t b) const
+Simulation::isPartitioned(std::size_t a, std::size_t b) const
 {
-  if (m_now < m_nodes[a].cutUntil || m_now < m_nodes[b].cutUntil)
+  if (m_now < m_nodes[a].partitionedUntil ||
+      m_now < m_nodes[b].partitionedUntil)
     return true;
   if (m_nodes[a].zone == m_nodes[b].zone)
     return false;
-  for (const auto& [zone, until] : m_zoneCutUntil) {
+  for (const auto& [zone, until] : m_zonePartitionedUntil) {
     if (m_now < until && (m_nodes[a].zone == zone || m_nodes[b].zone == zone))
       return true;
   }
   return false;
 }
 
-/// Ends a connection; each side that lives is told after `noticed`.
+/// Ends a connection; each side that is alive is told after `detectionDelay`.
 void
-Simulation::unlink(std::size_t a, std::size_t b, Duration noticed)
+Simulation::disconnect(std::size_t a, std::size_t b, Duration detectionDelay)
 {
-  // What is noticed at once or late was silence.
-  const PeerLoss loss = noticed == oneWay ? PeerLoss::Closed : PeerLoss::Silent;
+  // A loss that is detected one message delay later was a close or reset. A
+  // loss that is detected at once or later than that was silence.
+  const PeerLoss loss =
+    detectionDelay == oneWayDelay ? PeerLoss::Closed : PeerLoss::Silent;
   const ConnectionNumber ofA = connection(a, b);
   const ConnectionNumber ofB = connection(b, a);
-  const auto lose = [this, a, b, ofA, ofB, loss] {
-    loseEnd({ a, b }, ofA, loss);
-    loseEnd({ b, a }, ofB, loss);
+  const auto close = [this, a, b, ofA, ofB, loss] {
+    closeEnd({ a, b }, ofA, loss);
+    closeEnd({ b, a }, ofB, loss);
   };
-  if (noticed == Duration::zero())
-    lose();
+  if (detectionDelay == Duration::zero())
+    close();
   else
-    at(noticed, lose);
+    schedule(detectionDelay, close);
 }
 
-/// The daemon notices that the connection of this number is lost, if it has not
-/// yet. One that is behind goes by it until then.
+/// The daemon detects that the connection with this number is lost, unless it
+/// has detected that already. A daemon that handles input late treats the
+/// connection as up until then.
 void
-Simulation::loseEnd(const End& end, ConnectionNumber number, PeerLoss loss)
+Simulation::closeEnd(const ConnectionEnd& end,
+                     ConnectionNumber number,
+                     PeerLoss loss)
 {
   if (number == 0 || connection(end.first, end.second) != number)
     return;
-  const bool isAtOnce = !isBehind(end.first);
-  if (isAtOnce)
+  const bool isImmediate = !isProcessingDelayed(end.first);
+  if (isImmediate)
     m_ends.erase(end);
-  const auto notice = [this, end, number, loss, isAtOnce] {
+  const auto notice = [this, end, number, loss, isImmediate] {
     const auto [node, other] = end;
-    if (!isAtOnce && connection(node, other) != number)
+    if (!isImmediate && connection(node, other) != number)
       return;
-    if (!isAtOnce)
+    if (!isImmediate)
       m_ends.erase(end);
     m_nodes[node].core->peerDown(m_nodes[other].id, loss);
   };
-  onNode(end.first, m_nodes[end.first].life, notice);
+  deliver(end.first, m_nodes[end.first].incarnation, notice);
 }
 
 void
-Simulation::loseEnd(const End& end, PeerLoss loss)
+Simulation::closeEnd(const ConnectionEnd& end, PeerLoss loss)
 {
-  loseEnd(end, connection(end.first, end.second), loss);
+  closeEnd(end, connection(end.first, end.second), loss);
 }
 
 void
-Simulation::unlinkAll(std::size_t node, Duration noticed)
+Simulation::disconnectAll(std::size_t node, Duration detectionDelay)
 {
   for (std::size_t other = 0; other < m_nodes.size(); ++other) {
     if (other != node)
-      unlink(node, other, noticed);
+      disconnect(node, other, detectionDelay);
   }
 }
 
@@ -223,28 +239,28 @@
 {
   for (std::size_t a = 0; a < m_nodes.size(); ++a) {
     for (std::size_t b = a + 1; b < m_nodes.size(); ++b) {
-      const bool canLink = m_nodes[a].isAlive && m_nodes[b].isAlive &&
-                           !m_nodes[a].isFrozen && !m_nodes[b].isFrozen &&
-                           !isCut(a, b) && !isConnecting(a, b);
-      if (!canLink)
+      const bool canConnect = m_nodes[a].isAlive && m_nodes[b].isAlive &&
+                              !m_nodes[a].isFrozen && !m_nodes[b].isFrozen &&
+                              !isPartitioned(a, b) && !isConnecting(a, b);
+      if (!canConnect)
         continue;
-      if (!areLinked(a, b) && !areLinked(b, a))
+      if (!isConnected(a, b) && !isConnected(b, a))
         connect(a, b);
       else
         closeHalfOpen(a, b);
     }
   }
-  at(reconnectInterval, [this] { connectDaemons(); });
+  schedule(reconnectInterval, [this] { connectDaemons(); });
 }
 
 void
 Simulation::connect(std::size_t a, std::size_t b)
 {
-  m_connecting[{ a, b }] = { m_nodes[a].life, m_nodes[b].life };
+  m_connecting[{ a, b }] = { m_nodes[a].incarnation, m_nodes[b].incarnation };
   const ConnectionNumber number = ++m_lastConnection;
-  onNode(a, m_nodes[a].life, [this, a, b, number] {
+  deliver(a, m_nodes[a].incarnation, [this, a, b, number] {
     openEnd({ a, b }, number);
-    onNode(b, m_nodes[b].life, [this, a, b, number] {
+    deliver(b, m_nodes[b].incarnation, [this, a, b, number] {
       m_connecting.erase({ a, b });
       openEnd({ b, a }, number);
     });
@@ -252,7 +268,7 @@
 }
 
 void
-Simulation::openEnd(const End& end, ConnectionNumber number)
+Simulation::openEnd(const ConnectionEnd& end, ConnectionNumber number)
 {
   const auto [node, other] = end;
   m_ends[end] = number;
@@ -262,32 +278,35 @@
   m_nodes[node].core->peerUp(hello);
 }
 
-/// Whether two daemons have begun to connect and neither has ended since.
+/// Whether two daemons are opening a connection and neither daemon has
+/// restarted since.
 bool
 Simulation::isConnecting(std::size_t a, std::size_t b) const
 {
   const auto found = m_connecting.find({ a, b });
   return found != m_connecting.end() &&
-         found->second == std::pair(m_nodes[a].life, m_nodes[b].life);
+         found->second ==
+           std::pair(m_nodes[a].incarnation, m_nodes[b].incarnation);
 }
 
-/// Over a connection that only one side knows, what it sends is answered with a
-/// reset.
+/// The peer answers what is sent over a connection that only one side knows
+/// with a reset.
 void
 Simulation::closeHalfOpen(std::size_t a, std::size_t b)
 {
-  if (!areLinked(b, a))
-    loseEnd({ a, b }, PeerLoss::Closed);
-  if (!areLinked(a, b))
-    loseEnd({ b, a }, PeerLoss::Closed);
+  if (!isConnected(b, a))
+    closeEnd({ a, b }, PeerLoss::Closed);
+  if (!isConnected(a, b))
+    closeEnd({ b, a }, PeerLoss::Closed);
 }
 
 Duration
-Simulation::transit(TimePoint& busyUntil, std::size_t bytes) const
+Simulation::transferTime(TimePoint& busyUntil, std::size_t bytes) const
 {
-  if (m_settings.linkMegabits == 0)
+  if (m_settings.linkMegabitsPerSecond == 0)
     return Duration::zero();
-  const double microseconds = double(bytes) * 8 / m_settings.linkMegabits;
+  const double microseconds =
+    double(bytes) * 8 / m_settings.linkMegabitsPerSecond;
   busyUntil = std::max(busyUntil, m_now) + Duration(std::int64_t(microseconds));
   return busyUntil - m_now;
 }
@@ -295,13 +314,13 @@
 Duration
 Simulation::sendTime(std::size_t node, std::size_t bytes)
 {
-  return transit(m_nodes[node].sendsUntil, bytes);
+  return transferTime(m_nodes[node].sendBusyUntil, bytes);
 }
 
 Duration
 Simulation::receiveTime(std::size_t node, std::size_t bytes)
 {
-  return transit(m_nodes[node].receivesUntil, bytes);
+  return transferTime(m_nodes[node].receiveBusyUntil, bytes);
 }
 
 } // namespace cowslippin::testing
--- a/tests/entry/simulationtimes.h
+++ b/tests/entry/simulationtimes.h
@@ -6,13 +6,13 @@
 
 namespace cowslippin::testing {
 
-/// The way of a message through the network.
-inline constexpr Duration oneWay = std::chrono::microseconds(700);
+/// Time that a message takes through the network in one direction.
+inline constexpr Duration oneWayDelay = std::chrono::microseconds(700);
 inline constexpr Duration tickInterval = std::chrono::milliseconds(20);
-/// How long other daemons take to notice one that has fallen silent.
+/// Time after which a daemon regards a silent connection as lost.
 inline constexpr Duration silenceLimit = std::chrono::milliseconds(450);
 inline constexpr Duration reconnectInterval = std::chrono::milliseconds(120);
-/// The time of day at the beginning of the steady clock.
-inline constexpr std::int64_t firstTimeOfDayMs = 1800000000000;
+/// Time of day at the zero point of the steady clock, in ms since 1970.
+inline constexpr std::int64_t initialTimeOfDayMs = 1800000000000;
 
 } // namespace cowslippin::testing
--- a/tests/entry/simulationworkers.cpp
+++ b/tests/entry/simulationworkers.cpp
@@ -10,11 +10,11 @@
 
 using std::chrono::milliseconds;
 
-/// After an operator's request, daemons have read it or heard of it from
-/// another.
+/// Time within which every daemon has read an operator's evacuation at the
+/// platform or heard of it from another daemon.
 constexpr Duration evacuationLimit = milliseconds(700);
 
-/// Sizes on the wire, with headers.
+/// Sizes on the wire in bytes, with headers.
 constexpr std::size_t orderBytes = 300;
 constexpr std::size_t answerBytes = 200;
 constexpr std::size_t runBytes = 50;
@@ -66,44 +66,46 @@
 void
 Simulation::crashWorker(std::size_t index)
 {
-  renew(index);
+  replaceWorker(index);
   for (std::size_t node = 0; node < m_nodes.size(); ++node)
-    readList(node);
+    readWorkerList(node);
 }
 
 void
 Simulation::restartWorker(std::size_t index)
 {
-  beginLife(index, m_workers[index].record.id());
-  readListsLater();
+  startWorker(index, m_workers[index].record.id());
+  scheduleWorkerListReads();
 }
 
 void
-Simulation::delayStarts(Duration duration, Duration lag)
+Simulation::delayStarts(Duration duration, Duration delay)
 {
   m_startsDelayedUntil = m_now + duration;
-  m_startLag = lag;
+  m_startDelay = delay;
 }
 
-/// The worker loses all that runs there and gets a new id.
+/// Replaces the worker by a new one with a new id. All runs on the old worker
+/// are lost.
 void
-Simulation::renew(std::size_t index)
+Simulation::replaceWorker(std::size_t index)
 {
-  beginLife(index, WorkerId("w" + std::to_string(++m_lastWorker)));
+  startWorker(index, WorkerId("w" + std::to_string(++m_lastWorker)));
 }
 
-/// The worker's clock, its count of ends and its tokens begin anew.
+/// Starts the worker process anew: its clock, its numbers of ended runs and its
+/// highest fencing token start from the beginning.
 void
-Simulation::beginLife(std::size_t index, const WorkerId& id)
+Simulation::startWorker(std::size_t index, const WorkerId& id)
 {
   Worker& worker = m_workers[index];
-  ++worker.life;
+  ++worker.incarnation;
   const std::int64_t sinceStart = toMilliseconds(m_now.time_since_epoch());
   const auto clock = static_cast<std::int64_t>(1000 * index);
-  const WorkerBirth birth(firstTimeOfDayMs + sinceStart);
+  const WorkerBirth birth(initialTimeOfDayMs + sinceStart);
   worker.fake = std::make_unique<FakeWorker>(clock - sinceStart, birth);
-  worker.sizes.clear();
-  worker.parked.clear();
+  worker.runCpuMillis.clear();
+  worker.pendingHolds.clear();
   WorkerRecord::Fields fields;
   fields.id = id;
   fields.birth = birth;
@@ -117,22 +119,22 @@
 Simulation::setWorkersPerZone(unsigned count)
 {
   for (std::size_t index = 0; index < m_workers.size(); ++index) {
-    if (m_workers[index].position >= std::min(count, m_listedPerZone))
-      renew(index);
+    if (m_workers[index].indexInZone >= std::min(count, m_listedPerZone))
+      replaceWorker(index);
   }
   m_listedPerZone = count;
-  readListsLater();
+  scheduleWorkerListReads();
 }
 
 void
-Simulation::unlist(unsigned zone, double share, Duration duration)
+Simulation::expireWorkerEntries(unsigned zone, double share, Duration duration)
 {
   for (Worker& worker : m_workers) {
-    if (worker.zone == zone && chance() < share)
+    if (worker.zone == zone && randomFraction() < share)
       worker.unlistedUntil = m_now + duration;
   }
-  readListsLater();
-  at(duration, [this] { readListsLater(); });
+  scheduleWorkerListReads();
+  schedule(duration, [this] { scheduleWorkerListReads(); });
 }
 
 unsigned
@@ -147,7 +149,7 @@
 {
   if (m_nodes[node].zone == worker.zone)
     return true;
-  for (const auto& [zone, until] : m_zoneCutUntil) {
+  for (const auto& [zone, until] : m_zonePartitionedUntil) {
     if (m_now < until && (m_nodes[node].zone == zone || worker.zone == zone))
       return false;
   }
@@ -166,70 +168,71 @@
 
 template<class Order, class Answer>
 void
-Simulation::order(std::size_t node,
-                  const WorkerRecord& record,
-                  const Order& order,
-                  Duration timeout,
-                  std::function<void(const Answer&)> done,
-                  std::function<Answer(Worker&, const Order&)> carryOut)
+Simulation::sendOrder(std::size_t node,
+                      const WorkerRecord& record,
+                      const Order& order,
+                      Duration timeout,
+                      std::function<void(const Answer&)> done,
+                      std::function<Answer(Worker&, const Order&)> carryOut)
 {
   const auto isAnswered = std::make_shared<bool>(false);
-  const unsigned life = m_nodes[node].life;
+  const unsigned incarnation = m_nodes[node].incarnation;
   const auto answer =
-    [this, node, life, isAnswered, done](const Answer& value) {
-      onNode(node, life, [isAnswered, done, value] {
+    [this, node, incarnation, isAnswered, done](const Answer& value) {
+      deliver(node, incarnation, [isAnswered, done, value] {
         if (!std::exchange(*isAnswered, true))
           done(value);
       });
     };
-  at(timeout, [answer] { answer(OrderFailure::Unanswered); });
-  const double fate = chance();
-  const double answerLost = m_settings.lostOrders + m_settings.lostAnswers;
-  const bool isLost = fate < m_settings.lostOrders;
-  const bool isAnswerLost = !isLost && fate < answerLost;
+  schedule(timeout, [answer] { answer(OrderFailure::Unanswered); });
+  const double draw = randomFraction();
+  const double lostShare =
+    m_settings.lostOrderShare + m_settings.lostAnswerShare;
+  const bool isLost = draw < m_settings.lostOrderShare;
+  const bool isAnswerLost = !isLost && draw < lostShare;
   const bool isLate =
-    !isLost && !isAnswerLost && fate < answerLost + m_settings.lateOrders;
+    !isLost && !isAnswerLost && draw < lostShare + m_settings.lateOrderShare;
   if (isLost)
     return;
   const bool isDelayed =
     std::is_same_v<Order, StartOrder> && m_now < m_startsDelayedUntil;
-  Duration delay = isLate ? milliseconds(2000 + below(10000))
-                          : oneWay + sendTime(node, wireBytes(order));
+  Duration delay = isLate ? milliseconds(2000 + randomBelow(10000))
+                          : oneWayDelay + sendTime(node, wireBytes(order));
   if (isDelayed)
-    delay = m_startLag;
-  at(delay, [=] {
+    delay = m_startDelay;
+  schedule(delay, [=] {
     Worker* worker = findWorker(record.id());
     if (!worker || !reachesWorker(node, *worker))
       return;
     const Answer value = carryOut(*worker, order);
     if (!isAnswerLost && !isLate && !isDelayed)
-      at(oneWay + receiveTime(node, wireBytes(value)),
-         [answer, value] { answer(value); });
+      schedule(oneWayDelay + receiveTime(node, wireBytes(value)),
+               [answer, value] { answer(value); });
   });
 }
 
 void
-Simulation::holdOrder(std::size_t node,
-                      const WorkerRecord& record,
-                      const HoldOrder& hold,
-                      Duration timeout,
-                      const std::function<void(const HoldAnswer&)>& done)
+Simulation::sendHoldOrder(std::size_t node,
+                          const WorkerRecord& record,
+                          const HoldOrder& hold,
+                          Duration timeout,
+                          const std::function<void(const HoldAnswer&)>& done)
 {
   const auto isAnswered = std::make_shared<bool>(false);
-  const unsigned life = m_nodes[node].life;
+  const unsigned incarnation = m_nodes[node].incarnation;
   const auto answer =
-    [this, node, life, isAnswered, done](const HoldAnswer& value) {
-      at(oneWay + receiveTime(node, wireBytes(value)), [=] {
-        onNode(node, life, [isAnswered, done, value] {
+    [this, node, incarnation, isAnswered, done](const HoldAnswer& value) {
+      schedule(oneWayDelay + receiveTime(node, wireBytes(value)), [=] {
+        deliver(node, incarnation, [isAnswered, done, value] {
           if (!std::exchange(*isAnswered, true))
             done(value);
         });
       });
     };
-  at(timeout, [answer] { answer(OrderFailure::Unanswered); });
-  if (chance() < m_settings.lostOrders + m_settings.lostAnswers)
+  schedule(timeout, [answer] { answer(OrderFailure::Unanswered); });
+  if (randomFraction() < m_settings.lostOrderShare + m_settings.lostAnswerShare)
     return;
-  at(oneWay + sendTime(node, orderBytes), [=] {
+  schedule(oneWayDelay + sendTime(node, orderBytes), [=] {
     Worker* worker = findWorker(record.id());
     if (!worker || !reachesWorker(node, *worker))
       return;
@@ -239,19 +242,19 @@
       answer(value);
       return;
     }
-    const auto parked =
-      std::make_shared<ParkedHold>(ParkedHold{ hold, answer });
-    worker->parked.push_back(parked);
-    at(hold.wait, [this, id = record.id(), parked] {
-      Worker* waited = findWorker(id);
-      if (!waited)
+    const auto pending =
+      std::make_shared<PendingHold>(PendingHold{ hold, answer });
+    worker->pendingHolds.push_back(pending);
+    schedule(hold.wait, [this, id = record.id(), pending] {
+      Worker* current = findWorker(id);
+      if (!current)
         return;
-      auto& all = waited->parked;
-      const auto found = std::find(all.begin(), all.end(), parked);
+      auto& all = current->pendingHolds;
+      const auto found = std::find(all.begin(), all.end(), pending);
       if (found == all.end())
         return;
       all.erase(found);
-      parked->answer(waited->fake->hold(parked->order, m_now));
+      pending->answer(current->fake->hold(pending->order, m_now));
     });
   });
 }
@@ -264,13 +267,13 @@
                             const HoldOrder& hold,
                             Duration timeout,
                             auto done) {
-    holdOrder(node, record, hold, timeout, std::move(done));
+    sendHoldOrder(node, record, hold, timeout, std::move(done));
   };
   ports.start = [this, node](const WorkerRecord& record,
                              const StartOrder& start,
                              Duration timeout,
                              auto done) {
-    order<StartOrder, OrderAnswer>(
+    sendOrder<StartOrder, OrderAnswer>(
       node, record, start, timeout, std::move(done), [this](auto& w, auto& o) {
         return carryOutStart(w, o);
       });
@@ -279,14 +282,14 @@
                             const StopOrder& stop,
                             Duration timeout,
                             auto done) {
-    order<StopOrder, OrderAnswer>(
+    sendOrder<StopOrder, OrderAnswer>(
       node, record, stop, timeout, std::move(done), [this](auto& w, auto& o) {
         return carryOutStop(w, o);
       });
   };
   ports.publishHolder = [this, node](const ShardId& shard, FencingToken token) {
-    PublishedHolder& published = m_published[shard];
-    published = { m_nodes[node].id, token, published.beats + 1 };
+    PublishedHolder& published = m_publishedHolders[shard];
+    published = { m_nodes[node].id, token, published.heartbeats + 1 };
   };
   ports.readConfiguration = [](const std::string&) -> Result<RoutingTable> {
     return routing();
@@ -306,18 +309,22 @@
   ++m_startedTasks;
   ++m_startedInZone[worker.zone];
   checkEvacuation(worker, order.key);
-  // The specification of a task is its run time and its size.
+  // The specification of a task is "<run time in ms>,<CPU in thousandths of a
+  // core>".
   const std::size_t comma = order.spec.find(',');
   const Duration duration = milliseconds(std::stoi(order.spec));
-  worker.sizes[order.key] = std::stoll(order.spec.substr(comma + 1));
-  checkWorker(worker, order.key);
-  const bool fails = m_settings.hasFailures && chance() < 0.01;
-  at(duration,
-     [this,
-      id = worker.record.id(),
-      life = worker.life,
-      key = order.key,
-      fails] { endRun(id, life, key, fails ? RunEnd::Failed : RunEnd::Done); });
+  worker.runCpuMillis[order.key] = std::stoll(order.spec.substr(comma + 1));
+  checkStart(worker, order.key);
+  const bool fails = m_settings.hasFailures && randomFraction() < 0.01;
+  schedule(duration,
+           [this,
+            id = worker.record.id(),
+            incarnation = worker.incarnation,
+            key = order.key,
+            fails] {
+             endRun(
+               id, incarnation, key, fails ? RunEnd::Failed : RunEnd::Done);
+           });
   return answer;
 }
 
@@ -325,40 +332,40 @@
 Simulation::carryOutStop(Worker& worker, const StopOrder& order)
 {
   const OrderAnswer answer = worker.fake->stop(order, m_now);
-  answerParked(worker);
+  answerPendingHolds(worker);
   return answer;
 }
 
 void
 Simulation::endRun(const WorkerId& id,
-                   unsigned life,
+                   unsigned incarnation,
                    const RunKey& key,
                    RunEnd end)
 {
   Worker* worker = findWorker(id);
-  if (!worker || worker->life != life)
+  if (!worker || worker->incarnation != incarnation)
     return;
   worker->fake->lapse(m_now);
   if (worker->fake->isRunning(key))
     worker->fake->end(key, end);
-  answerParked(*worker);
+  answerPendingHolds(*worker);
 }
 
 void
-Simulation::answerParked(Worker& worker)
+Simulation::answerPendingHolds(Worker& worker)
 {
-  for (const auto& parked : std::exchange(worker.parked, {}))
-    parked->answer(worker.fake->hold(parked->order, m_now));
+  for (const auto& pending : std::exchange(worker.pendingHolds, {}))
+    pending->answer(worker.fake->hold(pending->order, m_now));
 }
 
 void
-Simulation::checkWorker(const Worker& worker, const RunKey& started)
+Simulation::checkStart(const Worker& worker, const RunKey& started)
 {
   std::int64_t used = 0;
   for (const RunKey& key : worker.fake->runs())
-    used += worker.sizes.at(key);
+    used += worker.runCpuMillis.at(key);
   if (used > worker.record.capacity().cpuMillis())
-    violated("over capacity at " + worker.record.id().value());
+    recordViolation("over capacity at " + worker.record.id().value());
   unsigned runs = 0;
   for (const Worker& other : m_workers) {
     other.fake->lapse(m_now);
@@ -366,23 +373,23 @@
       runs += key.task() == started.task() ? 1 : 0;
   }
   if (runs > 1)
-    violated("two runs of " + started.task());
+    recordViolation("two runs of " + started.task());
   const auto caller = m_callers.find(jobOfTask(started.task()));
   if (caller == m_callers.end())
     return;
   caller->second.hasStarted = true;
   if (caller->second.isRefused)
-    violated("a start of the refused " + started.task());
+    recordViolation("a start of the refused " + started.task());
 }
 
 void
 Simulation::checkEvacuation(const Worker& worker, const RunKey& started)
 {
   const auto since = m_evacuatedSince.find(worker.zone);
-  if (since == m_evacuatedSince.end() || m_settings.lateOrders > 0)
+  if (since == m_evacuatedSince.end() || m_settings.lateOrderShare > 0)
     return;
   if (m_now - since->second > evacuationLimit)
-    violated("a start in an evacuated zone, of " + started.task());
+    recordViolation("a start in an evacuated zone, of " + started.task());
 }
 
 void
@@ -392,9 +399,9 @@
     const std::size_t before = worker.fake->runCount();
     worker.fake->lapse(m_now);
     if (worker.fake->runCount() != before)
-      answerParked(worker);
+      answerPendingHolds(worker);
   }
-  at(tickInterval, [this] { tickWorkers(); });
+  schedule(tickInterval, [this] { tickWorkers(); });
 }
 
 } // namespace cowslippin::testing
--- a/tests/entry/slownetwork.cpp
+++ b/tests/entry/slownetwork.cpp
@@ -12,9 +12,9 @@
 
 constexpr Duration stepTime = milliseconds(1);
 constexpr Duration tickInterval = milliseconds(20);
-constexpr Duration reconnectAfter = milliseconds(150);
+constexpr Duration reconnectDelay = milliseconds(150);
 const SilenceWatch::Settings silenceSettings;
-/// What one connection may send before the next one's turn.
+/// Most bytes that a connection sends before the next connection has its turn.
 constexpr double packetBytes = 1500;
 
 } // namespace
@@ -48,21 +48,22 @@
 }
 
 void
-SlowNetwork::platformTells(std::size_t daemon, const std::string& configuration)
+SlowNetwork::deliverFromPlatform(std::size_t daemon,
+                                 const std::string& configuration)
 {
   m_nodes[daemon].core->configurationRead(configuration);
 }
 
 void
-SlowNetwork::setPlatformTelling(std::size_t daemon, bool isTelling)
+SlowNetwork::setPlatformAnswerArriving(std::size_t daemon, bool isArriving)
 {
-  m_nodes[daemon].isTold = isTelling;
+  m_nodes[daemon].isAnswerArriving = isArriving;
 }
 
 void
-SlowNetwork::cutOff(std::size_t daemon)
+SlowNetwork::isolate(std::size_t daemon)
 {
-  m_nodes[daemon].isCutOff = true;
+  m_nodes[daemon].isIsolated = true;
   for (std::size_t other = 0; other < m_nodes.size(); ++other) {
     if (other == daemon)
       continue;
@@ -91,7 +92,7 @@
 {
   std::uint64_t oldest = UINT64_MAX;
   for (std::size_t node = 0; node < m_nodes.size(); ++node) {
-    if (!m_nodes[node].isCutOff)
+    if (!m_nodes[node].isIsolated)
       oldest = std::min(oldest, versionAt(node));
   }
   return oldest;
@@ -115,7 +116,9 @@
     [](const std::string& body) -> Result<RoutingTable> {
     return RoutingTable(std::stoull(body), {});
   };
-  ports.isConfigurationArriving = [this, node] { return m_nodes[node].isTold; };
+  ports.isConfigurationArriving = [this, node] {
+    return m_nodes[node].isAnswerArriving;
+  };
   ports.workerNews = [](const PeerWorkerNews&) {};
   return ports;
 }
@@ -191,7 +194,7 @@
     return false;
   queue->second.messages.emplace_back(encodePeerMessage(message).size(),
                                       message);
-  ++m_nodes[from].queued;
+  ++m_nodes[from].queuedMessages;
   return true;
 }
 
@@ -200,7 +203,7 @@
 {
   m_queues[{ a, b }].silence = SilenceWatch(m_now);
   m_queues[{ b, a }].silence = SilenceWatch(m_now);
-  for (const auto& [self, other] : { Way{ a, b }, Way{ b, a } }) {
+  for (const auto& [self, other] : { Direction{ a, b }, Direction{ b, a } }) {
     PeerHello hello;
     hello.vm = m_nodes[other].id;
     hello.zone = ZoneName("z0");
@@ -209,7 +212,7 @@
 }
 
 void
-SlowNetwork::connectAll()
+SlowNetwork::openDueConnections()
 {
   for (auto due = m_connectAt.begin(); due != m_connectAt.end();) {
     if (due->second > m_now) {
@@ -224,9 +227,10 @@
 void
 SlowNetwork::disconnect(std::size_t a, std::size_t b)
 {
-  for (const Way& way : { Way{ a, b }, Way{ b, a } }) {
-    m_nodes[way.first].queued -= m_queues.at(way).messages.size();
-    m_queues.erase(way);
+  for (const Direction& direction : { Direction{ a, b }, Direction{ b, a } }) {
+    m_nodes[direction.first].queuedMessages -=
+      m_queues.at(direction).messages.size();
+    m_queues.erase(direction);
   }
   m_nodes[a].core->peerDown(m_nodes[b].id, PeerLoss::Silent);
   m_nodes[b].core->peerDown(m_nodes[a].id, PeerLoss::Silent);
@@ -236,9 +240,9 @@
 SlowNetwork::step()
 {
   m_now += stepTime;
-  connectAll();
-  moveBytes();
-  giveUpSilent();
+  openDueConnections();
+  transferBytes();
+  closeSilentConnections();
   for (Node& node : m_nodes) {
     for (const auto& action : std::exchange(node.posted, {}))
       action();
@@ -249,89 +253,91 @@
     node.core->tick();
 }
 
-/// All daemons take turns, and so do the connections of each, as long as the
-/// links have something left of this step.
+/// Transfers packets until the links have no rate left in this step. The
+/// daemons take turns, and so do the connections of each daemon.
 void
-SlowNetwork::moveBytes()
+SlowNetwork::transferBytes()
 {
   const double share =
     m_settings.bytesPerSecond * std::chrono::duration<double>(stepTime).count();
   for (Node& node : m_nodes) {
-    node.canSend = std::min(node.canSend, 0.0) + share;
-    node.canReceive = std::min(node.canReceive, 0.0) + share;
+    node.sendBudgetBytes = std::min(node.sendBudgetBytes, 0.0) + share;
+    node.receiveBudgetBytes = std::min(node.receiveBudgetBytes, 0.0) + share;
   }
   ++m_firstServed;
-  for (bool hasMoved = true; hasMoved;) {
-    hasMoved = false;
+  for (bool hasSent = true; hasSent;) {
+    hasSent = false;
     for (std::size_t i = 0; i < m_nodes.size(); ++i)
-      hasMoved = sendSome((m_firstServed + i) % m_nodes.size()) || hasMoved;
+      hasSent = sendPacket((m_firstServed + i) % m_nodes.size()) || hasSent;
   }
 }
 
 /// Sends a packet over the daemon's next connection that can carry one.
 bool
-SlowNetwork::sendSome(std::size_t sender)
+SlowNetwork::sendPacket(std::size_t sender)
 {
   Node& node = m_nodes[sender];
-  if (node.queued == 0 || node.canSend <= 0)
+  if (node.queuedMessages == 0 || node.sendBudgetBytes <= 0)
     return false;
   for (std::size_t i = 1; i <= m_nodes.size(); ++i) {
-    const Way way{ sender, (node.lastServed + i) % m_nodes.size() };
-    const auto queue = m_queues.find(way);
-    if (queue == m_queues.end() || !moveSome(way, queue->second))
+    const Direction direction{ sender, (node.lastServed + i) % m_nodes.size() };
+    const auto queue = m_queues.find(direction);
+    if (queue == m_queues.end() || !movePacket(direction, queue->second))
       continue;
-    node.lastServed = way.second;
+    node.lastServed = direction.second;
     return true;
   }
   return false;
 }
 
 bool
-SlowNetwork::moveSome(const Way& way, Queue& queue)
+SlowNetwork::movePacket(const Direction& direction, Queue& queue)
 {
-  Node& sender = m_nodes[way.first];
-  Node& receiver = m_nodes[way.second];
-  if (queue.messages.empty() || sender.canSend <= 0 || receiver.canReceive <= 0)
+  Node& sender = m_nodes[direction.first];
+  Node& receiver = m_nodes[direction.second];
+  if (queue.messages.empty() || sender.sendBudgetBytes <= 0 ||
+      receiver.receiveBudgetBytes <= 0)
     return false;
   auto& [bytesLeft, message] = queue.messages.front();
   const std::size_t bytes =
     std::min(bytesLeft, static_cast<std::size_t>(packetBytes));
-  sender.canSend -= double(bytes);
-  receiver.canReceive -= double(bytes);
+  sender.sendBudgetBytes -= double(bytes);
+  receiver.receiveBudgetBytes -= double(bytes);
   receiver.receivedBytes += bytes;
   bytesLeft -= bytes;
   if (bytesLeft > 0)
     return true;
   const PeerMessage whole = std::move(message);
   queue.messages.pop_front();
-  --sender.queued;
+  --sender.queuedMessages;
   queue.silence.heard(m_now);
   if (const auto* beat = std::get_if<PeerBeat>(&whole))
     queue.silence.promised(beat->nextWithin);
-  deliver(way, whole);
+  deliver(direction, whole);
   return true;
 }
 
 void
-SlowNetwork::deliver(const Way& way, const PeerMessage& message)
+SlowNetwork::deliver(const Direction& direction, const PeerMessage& message)
 {
-  m_nodes[way.second].core->received(m_nodes[way.first].id, message);
+  m_nodes[direction.second].core->received(m_nodes[direction.first].id,
+                                           message);
 }
 
 void
-SlowNetwork::giveUpSilent()
+SlowNetwork::closeSilentConnections()
 {
-  std::vector<Way> silent;
-  for (const auto& [way, queue] : m_queues) {
+  std::vector<Direction> silent;
+  for (const auto& [direction, queue] : m_queues) {
     if (queue.silence.isSilent(silenceSettings, m_now))
-      silent.push_back(std::minmax(way.first, way.second));
+      silent.push_back(std::minmax(direction.first, direction.second));
   }
-  for (const Way& way : silent) {
-    if (!isUp(way.first, way.second))
+  for (const Direction& direction : silent) {
+    if (!isUp(direction.first, direction.second))
       continue;
     ++m_lostConnections;
-    disconnect(way.first, way.second);
-    m_connectAt[way] = m_now + reconnectAfter;
+    disconnect(direction.first, direction.second);
+    m_connectAt[direction] = m_now + reconnectDelay;
   }
 }
 
