--- a/tests/entry/gateway_test.cpp
+++ b/tests/entry/gateway_test.cpp
@@ -16,18 +16,19 @@
 using std::chrono::milliseconds;
 
 const VmId self("self");
-const VmId first("holder-1");
-const VmId second("holder-2");
-const ShardId home(ZoneName("z1"), 0);
-const ShardId abroad(ZoneName("z2"), 0);
+const VmId firstHolder("holder-1");
+const VmId secondHolder("holder-2");
+const ShardId homeShard(ZoneName("z1"), 0);
+const ShardId remoteShard(ZoneName("z2"), 0);
 
+/// A gateway whose hooks record what it sends to holders and other daemons.
 class GatewayTest : public ::testing::Test
 {
 protected:
   GatewayTest()
     : gateway(self, Gateway::Settings(), hooks())
   {
-    holders[home] = first;
+    holders[homeShard] = firstHolder;
   }
 
   Gateway::Hooks hooks()
@@ -39,9 +40,9 @@
       if (found == holders.end() && shard.count() == 1)
         return std::nullopt;
       HolderChoice choice;
-      // What was divided before is one shard now.
-      choice.holder = found == holders.end() ? second : found->second;
-      choice.shard = found == holders.end() ? home : shard;
+      // A zone that was divided into several shards is one shard now.
+      choice.holder = found == holders.end() ? secondHolder : found->second;
+      choice.shard = found == holders.end() ? homeShard : shard;
       return choice;
     };
     hooks.bestHolder =
@@ -59,9 +60,11 @@
       return std::nullopt;
     };
     hooks.areAllEvacuated = [this] { return areAllEvacuated; };
-    hooks.workers = [this](const VmId&, const ShardId&) { return told; };
+    hooks.workers = [this](const VmId&, const ShardId&) {
+      return advertisedWorkers;
+    };
     hooks.submit = [this](const VmId& vm, const JobRequest& request) {
-      sent.emplace_back(vm, request);
+      sentRequests.emplace_back(vm, request);
       return true;
     };
     hooks.cancel = [this](const VmId& vm, const JobKey& key) {
@@ -72,9 +75,9 @@
     };
     hooks.toldUntil = [this] { return toldUntil.value_or(now); };
     hooks.underWayAt = [this](const JobId& job) {
-      const auto found = elsewhere.find(job);
-      return found == elsewhere.end() ? std::nullopt
-                                      : std::make_optional(found->second);
+      const auto found = remoteJobs.find(job);
+      return found == remoteJobs.end() ? std::nullopt
+                                       : std::make_optional(found->second);
     };
     hooks.recall = [this](const VmId& vm, const PeerRecall& recall) {
       recalled.emplace_back(vm, recall.job);
@@ -105,30 +108,32 @@
     JobEnd end;
     end.outcome = outcome;
     if (outcome == JobOutcome::Completed)
-      end.done = sent[index].second.tasks;
-    gateway.ended(sent[index].first, sent[index].second.key, end, now);
+      end.done = sentRequests[index].second.tasks;
+    gateway.ended(
+      sentRequests[index].first, sentRequests[index].second.key, end, now);
   }
 
   void returnTasks(std::size_t index, std::vector<TaskIndex> tasks)
   {
     TasksReturned returned;
     returned.tasks = std::move(tasks);
-    returned.holder = second;
-    returned.shard = abroad;
+    returned.holder = secondHolder;
+    returned.shard = remoteShard;
     returned.nextRun = 4;
-    gateway.returned(sent[index].first, sent[index].second.key, returned, now);
+    gateway.returned(
+      sentRequests[index].first, sentRequests[index].second.key, returned, now);
   }
 
-  /// Time passes without the ticks in between.
-  void passTo(TimePoint at)
+  /// Advances the clock and calls `tick` once, without the ticks in between.
+  void advanceTo(TimePoint at)
   {
     now = at;
     gateway.tick(now);
   }
 
-  /// A job that is under way for long enough to be told to others, and whose
-  /// caller has left.
-  void giveUp(const std::string& job)
+  /// Submits a job, waits until it is old enough to be advertised to other
+  /// daemons, and disconnects its only caller.
+  void abandonJob(const std::string& job)
   {
     const Gateway::Ticket ticket = submit(job);
     now += tellAfter;
@@ -137,43 +142,45 @@
 
   const Duration tellAfter = Gateway::Settings().tellAfter;
   const Duration untoldMargin = Gateway::Settings().untoldMargin;
-  const VmId other{ "other" };
-  const JobId a{ "a" };
+  const VmId otherDaemon{ "other" };
+  const JobId jobA{ "a" };
 
   bool areAllEvacuated = false;
-  std::optional<ShardDigest> told = 77;
-  /// That each holder tells of.
+  std::optional<ShardDigest> advertisedWorkers = 77;
+  /// The number of free places that each holder advertises.
   unsigned places = 0;
   TimePoint now{ std::chrono::seconds(100) };
   std::map<ShardId, VmId> holders;
-  std::vector<std::pair<VmId, JobRequest>> sent;
+  std::vector<std::pair<VmId, JobRequest>> sentRequests;
   std::vector<std::pair<VmId, JobKey>> cancelled;
   std::vector<std::pair<VmId, JobKey>> kept;
   std::vector<std::pair<VmId, JobId>> recalled;
-  /// Where jobs are under way, by other daemons' word.
-  std::map<JobId, KnownJobs::Place> elsewhere;
-  /// Until when the other daemons have been told; always if it isn't set.
+  /// The daemons that advertise a job as in progress.
+  std::map<JobId, KnownJobs::Place> remoteJobs;
+  /// Until when the other daemons have read this daemon's list of long jobs; up
+  /// to now if it isn't set.
   std::optional<TimePoint> toldUntil;
   std::vector<JobAnswer> answers;
   Gateway gateway;
 };
 
-TEST_F(GatewayTest, HandsAJobToTheHolderAndAnswersItsEnd)
+TEST_F(GatewayTest, SubmitsAJobToTheHolderAndAnswersItsEnd)
 {
   submit("a");
-  ASSERT_EQ(sent.size(), 1u);
-  EXPECT_EQ(sent[0].first, first);
-  EXPECT_EQ(sent[0].second.tasks, (std::vector<TaskIndex>{ 0, 1, 2 }));
-  EXPECT_FALSE(sent[0].second.mayHaveRun);
+  ASSERT_EQ(sentRequests.size(), 1u);
+  EXPECT_EQ(sentRequests[0].first, firstHolder);
+  EXPECT_EQ(sentRequests[0].second.tasks, (std::vector<TaskIndex>{ 0, 1, 2 }));
+  EXPECT_FALSE(sentRequests[0].second.mayHaveRun);
   end(0, JobOutcome::Completed);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Completed);
   EXPECT_EQ(gateway.waiting(), 0u);
 }
 
-/// Without these ages it can't be read from a log why a run was stopped while
-/// another was at work.
-TEST_F(GatewayTest, TheLogTellsWhenAndWhyAJobLostItsCaller)
+/// Guards against a log without the ages at which a job lost its callers.
+/// Without the ages the log doesn't show why a run was stopped while another
+/// run of the job was in progress.
+TEST_F(GatewayTest, LogsWhenAndWhyAJobLostItsCallers)
 {
   LogCapture log;
   const Gateway::Ticket ticket = submit("a");
@@ -195,7 +202,7 @@
   }
 }
 
-TEST_F(GatewayTest, AJobThatNobodyStartedIsRefusedAsNotRun)
+TEST_F(GatewayTest, AJobThatWasNeverStartedIsAnsweredAsNotRun)
 {
   submit("a");
   end(0, JobOutcome::Refused);
@@ -203,25 +210,26 @@
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::NotRun);
 }
 
-/// A zone of 24 workers was divided into four shards, five zones into 20. In a
-/// burst of twice what the workers can do each job that was refused had asked
-/// all 20: 7,721 refusals by holders for 1,579 jobs that they took.
-TEST_F(GatewayTest, InABurstOnlySoManyShardsAreAskedBeforeARefusal)
+/// Guards against refused jobs that are offered to every shard. Five zones of
+/// 24 workers each were divided into 20 shards. In a burst of twice the
+/// workers' capacity each refused job had been offered to all 20 shards:
+/// holders refused 7,721 submissions while they accepted 1,579 jobs.
+TEST_F(GatewayTest, TheNumberOfShardsAskedBeforeARefusalIsLimited)
 {
   for (unsigned index = 0; index < 20; ++index)
-    holders[ShardId(ZoneName("z3"), index, 20)] = second;
+    holders[ShardId(ZoneName("z3"), index, 20)] = secondHolder;
   submit("a");
   for (std::size_t asked = 0; answers.empty() && asked < 30; ++asked)
     end(asked, JobOutcome::Refused);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::NotRun);
-  EXPECT_EQ(sent.size(), Gateway::Settings().mostAsked);
+  EXPECT_EQ(sentRequests.size(), Gateway::Settings().mostAsked);
 }
 
-TEST_F(GatewayTest, AJobIsNotRefusedWhileAShardTellsOfRoom)
+TEST_F(GatewayTest, AJobIsNotRefusedWhileAShardAdvertisesFreePlaces)
 {
   for (unsigned index = 0; index < 20; ++index)
-    holders[ShardId(ZoneName("z3"), index, 20)] = second;
+    holders[ShardId(ZoneName("z3"), index, 20)] = secondHolder;
   places = 1;
   submit("a");
   for (std::size_t asked = 0; asked < 10; ++asked)
@@ -234,116 +242,120 @@
 
 TEST_F(GatewayTest, AJobIsRefusedOnlyWhenEveryShardHasRefusedIt)
 {
-  holders[abroad] = second;
+  holders[remoteShard] = secondHolder;
   submit("a");
   JobEnd full;
   full.outcome = JobOutcome::Refused;
   full.retryAfter = milliseconds(700);
-  gateway.ended(first, sent[0].second.key, full, now);
+  gateway.ended(firstHolder, sentRequests[0].second.key, full, now);
   EXPECT_TRUE(answers.empty());
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].first, second);
-  EXPECT_FALSE(sent[1].second.mayHaveRun);
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_EQ(sentRequests[1].first, secondHolder);
+  EXPECT_FALSE(sentRequests[1].second.mayHaveRun);
   full.retryAfter = milliseconds(900);
-  gateway.ended(second, sent[1].second.key, full, now);
+  gateway.ended(secondHolder, sentRequests[1].second.key, full, now);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::NotRun);
   EXPECT_EQ(answers[0].retryAfter, milliseconds(700))
-    << "when the first of them expects room";
+    << "the earliest time at which a shard expects room";
 }
 
-TEST_F(GatewayTest, AJobWhoseHolderWasLostIsNeverCalledNotRun)
+TEST_F(GatewayTest, AJobWhoseHolderWasLostIsNeverAnsweredAsNotRun)
 {
   submit("a");
-  gateway.daemonLost(first, now);
-  holders[home] = second;
+  gateway.daemonLost(firstHolder, now);
+  holders[homeShard] = secondHolder;
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_TRUE(sent[1].second.mayHaveRun);
-  ASSERT_TRUE(sent[1].second.quarantine);
-  EXPECT_EQ(sent[1].second.quarantine->lastHolders, (ShardWorkers{ home, 77 }));
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_TRUE(sentRequests[1].second.mayHaveRun);
+  ASSERT_TRUE(sentRequests[1].second.quarantine);
+  EXPECT_EQ(sentRequests[1].second.quarantine->lastHolders,
+            (ShardWorkers{ homeShard, 77 }));
   end(1, JobOutcome::Refused);
   for (const JobAnswer& answer : answers)
     EXPECT_NE(answer.kind, JobAnswer::Kind::NotRun);
 }
 
-TEST_F(GatewayTest, RunsThatMayBeLeftInTwoShardsAreNotKnownByAnyOfThem)
+TEST_F(GatewayTest, NoShardIsNamedForRunsThatMayBeOrphanedInTwoShards)
 {
   const ShardId half(ZoneName("z1"), 1, 2);
-  holders = { { half, first } };
+  holders = { { half, firstHolder } };
   submit("a");
   holders.clear();
-  gateway.daemonLost(first, now);
+  gateway.daemonLost(firstHolder, now);
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].second.shard, home);
-  EXPECT_EQ(sent[1].second.quarantine->lastHolders, (ShardWorkers{ half, 77 }));
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_EQ(sentRequests[1].second.shard, homeShard);
+  EXPECT_EQ(sentRequests[1].second.quarantine->lastHolders,
+            (ShardWorkers{ half, 77 }));
   now += milliseconds(1200);
-  gateway.daemonLost(second, now);
-  holders = { { home, first } };
+  gateway.daemonLost(secondHolder, now);
+  holders = { { homeShard, firstHolder } };
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 3u);
-  ASSERT_TRUE(sent[2].second.quarantine);
-  EXPECT_FALSE(sent[2].second.quarantine->lastHolders);
+  ASSERT_EQ(sentRequests.size(), 3u);
+  ASSERT_TRUE(sentRequests[2].second.quarantine);
+  EXPECT_FALSE(sentRequests[2].second.quarantine->lastHolders);
 }
 
-TEST_F(GatewayTest, RunsThatMayBeLeftByTwoHoldersOfAShardAreKnownByNeither)
+TEST_F(GatewayTest, NoShardIsNamedForRunsThatTwoHoldersMayHaveOrphaned)
 {
   submit("a");
-  gateway.daemonLost(first, now);
-  holders[home] = second;
+  gateway.daemonLost(firstHolder, now);
+  holders[homeShard] = secondHolder;
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 2u);
+  ASSERT_EQ(sentRequests.size(), 2u);
   now += milliseconds(500);
-  gateway.daemonLost(second, now);
-  holders[home] = first;
+  gateway.daemonLost(secondHolder, now);
+  holders[homeShard] = firstHolder;
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 3u);
-  EXPECT_FALSE(sent[2].second.quarantine->lastHolders)
-    << "the second may have known fewer workers than the first";
+  ASSERT_EQ(sentRequests.size(), 3u);
+  EXPECT_FALSE(sentRequests[2].second.quarantine->lastHolders)
+    << "the second holder may have known fewer workers than the first";
   now += milliseconds(1500);
-  gateway.daemonLost(first, now);
+  gateway.daemonLost(firstHolder, now);
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 4u);
-  EXPECT_TRUE(sent[3].second.quarantine->lastHolders);
+  ASSERT_EQ(sentRequests.size(), 4u);
+  EXPECT_TRUE(sentRequests[3].second.quarantine->lastHolders);
 }
 
-TEST_F(GatewayTest, AHolderThatToldNothingOfItsWorkersLeavesThemUnknown)
+TEST_F(GatewayTest, NoShardIsNamedIfTheLostHolderAdvertisedNoWorkers)
 {
-  told.reset();
+  advertisedWorkers.reset();
   submit("a");
-  gateway.daemonLost(first, now);
+  gateway.daemonLost(firstHolder, now);
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_FALSE(sent[1].second.quarantine->lastHolders);
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_FALSE(sentRequests[1].second.quarantine->lastHolders);
 }
 
-TEST_F(GatewayTest, ALostPartStartsElsewhereOnlyWhenItsRunsAreSurelyOver)
+TEST_F(GatewayTest,
+       ALostPartStartsInAnotherShardOnlyAfterItsOrphanedRunsHaveEnded)
 {
   submit("a");
-  gateway.daemonLost(first, now);
-  holders.erase(home);
-  holders[abroad] = second;
+  gateway.daemonLost(firstHolder, now);
+  holders.erase(homeShard);
+  holders[remoteShard] = secondHolder;
   now += milliseconds(1200);
   gateway.tick(now);
-  EXPECT_EQ(sent.size(), 1u);
+  EXPECT_EQ(sentRequests.size(), 1u);
   now += milliseconds(100);
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].first, second);
-  EXPECT_FALSE(sent[1].second.quarantine);
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_EQ(sentRequests[1].first, secondHolder);
+  EXPECT_FALSE(sentRequests[1].second.quarantine);
 }
 
 TEST_F(GatewayTest, ReturnedTasksGoToTheNamedHolderAndBothPartsMustEnd)
 {
   submit("a");
   returnTasks(0, { 1, 2 });
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].first, second);
-  EXPECT_EQ(sent[1].second.tasks, (std::vector<TaskIndex>{ 1, 2 }));
-  EXPECT_EQ(sent[1].second.firstRun, 4u);
-  EXPECT_FALSE(sent[1].second.mayBeReturned);
-  EXPECT_FALSE(sent[1].second.mayHaveRun) << "it may still be refused";
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_EQ(sentRequests[1].first, secondHolder);
+  EXPECT_EQ(sentRequests[1].second.tasks, (std::vector<TaskIndex>{ 1, 2 }));
+  EXPECT_EQ(sentRequests[1].second.firstRun, 4u);
+  EXPECT_FALSE(sentRequests[1].second.mayBeReturned);
+  EXPECT_FALSE(sentRequests[1].second.mayHaveRun)
+    << "the holder may still refuse the part";
   end(0, JobOutcome::Completed);
   EXPECT_TRUE(answers.empty());
   end(1, JobOutcome::Completed);
@@ -351,7 +363,8 @@
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Completed);
 }
 
-/// Guards against a job answered as completed after returned tasks were lost.
+/// Guards against a job that is answered as completed although tasks that a
+/// holder had returned were lost.
 TEST_F(GatewayTest, TasksThatACompletedPartDoesNotReportAsDoneArePlacedAgain)
 {
   submit("a");
@@ -359,44 +372,46 @@
   end.outcome = JobOutcome::Completed;
   end.done = { 0 };
   end.nextRun = 9;
-  gateway.ended(sent[0].first, sent[0].second.key, end, now);
+  gateway.ended(sentRequests[0].first, sentRequests[0].second.key, end, now);
   EXPECT_TRUE(answers.empty());
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].second.tasks, (std::vector<TaskIndex>{ 1, 2 }));
-  EXPECT_EQ(sent[1].second.firstRun, 9u);
-  EXPECT_TRUE(sent[1].second.mayHaveRun);
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_EQ(sentRequests[1].second.tasks, (std::vector<TaskIndex>{ 1, 2 }));
+  EXPECT_EQ(sentRequests[1].second.firstRun, 9u);
+  EXPECT_TRUE(sentRequests[1].second.mayHaveRun);
   this->end(1, JobOutcome::Completed);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Completed);
 }
 
-TEST_F(GatewayTest, APartThatTheNamedHolderRefusesGoesHomeAndIsNotCalledNotRun)
+TEST_F(GatewayTest,
+       APartThatTheNamedHolderRefusesIsPlacedAgainAndNotAnsweredAsNotRun)
 {
   submit("a");
   returnTasks(0, { 2 });
   end(1, JobOutcome::Refused);
-  ASSERT_EQ(sent.size(), 3u);
-  EXPECT_EQ(sent[2].first, first);
-  EXPECT_TRUE(sent[2].second.mayHaveRun);
+  ASSERT_EQ(sentRequests.size(), 3u);
+  EXPECT_EQ(sentRequests[2].first, firstHolder);
+  EXPECT_TRUE(sentRequests[2].second.mayHaveRun);
   EXPECT_TRUE(answers.empty());
 }
 
-TEST_F(GatewayTest, TasksOfAnEvacuatedZoneGoWhereTheSubmitterFindsAHolder)
+TEST_F(GatewayTest, TasksOfAnEvacuatedZoneGoToAHolderThatTheGatewayChooses)
 {
   submit("a");
-  holders = { { abroad, second } };
+  holders = { { remoteShard, secondHolder } };
   TasksReturned returned;
   returned.tasks = { 1, 2 };
   returned.nextRun = 2;
-  gateway.returned(first, sent[0].second.key, returned, now);
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].first, second);
-  EXPECT_EQ(sent[1].second.shard, abroad);
-  EXPECT_EQ(sent[1].second.tasks, (std::vector<TaskIndex>{ 1, 2 }));
-  EXPECT_TRUE(sent[1].second.mayHaveRun) << "a part of a job waits for room";
+  gateway.returned(firstHolder, sentRequests[0].second.key, returned, now);
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_EQ(sentRequests[1].first, secondHolder);
+  EXPECT_EQ(sentRequests[1].second.shard, remoteShard);
+  EXPECT_EQ(sentRequests[1].second.tasks, (std::vector<TaskIndex>{ 1, 2 }));
+  EXPECT_TRUE(sentRequests[1].second.mayHaveRun)
+    << "a part of a started job waits for room";
 }
 
-TEST_F(GatewayTest, WhereAllZonesAreEvacuatedAJobIsRefusedAtOnce)
+TEST_F(GatewayTest, AJobIsRefusedAtOnceWhileAllZonesAreEvacuated)
 {
   holders.clear();
   areAllEvacuated = true;
@@ -414,77 +429,78 @@
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Failed);
   ASSERT_FALSE(cancelled.empty());
-  EXPECT_EQ(cancelled[0].first, first);
+  EXPECT_EQ(cancelled[0].first, firstHolder);
 }
 
-TEST_F(GatewayTest, WhatIsSaidOfAnEarlierHandingOverIsNotHeeded)
+TEST_F(GatewayTest, ReportsAboutAnEarlierAssignmentAreIgnored)
 {
   submit("a");
-  gateway.daemonLost(first, now);
+  gateway.daemonLost(firstHolder, now);
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].second.previousPart, sent[0].second.key.part());
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_EQ(sentRequests[1].second.previousPart,
+            sentRequests[0].second.key.part());
   end(0, JobOutcome::Completed);
   returnTasks(0, { 1 });
   EXPECT_TRUE(answers.empty());
-  EXPECT_EQ(sent.size(), 2u);
+  EXPECT_EQ(sentRequests.size(), 2u);
 }
 
-TEST_F(GatewayTest, AMovedPartGoesOnWithWhatIsNotDone)
+TEST_F(GatewayTest, AMovedPartContinuesWithItsRemainingTasks)
 {
   submit("a");
-  holders[home] = second;
+  holders[homeShard] = secondHolder;
   JobEnd moved;
   moved.outcome = JobOutcome::Moved;
   moved.done = { 0, 2 };
   moved.nextRun = 12;
-  gateway.ended(first, sent[0].second.key, moved, now);
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].second.tasks, std::vector<TaskIndex>{ 1 });
-  EXPECT_EQ(sent[1].second.firstRun, 12u);
-  EXPECT_TRUE(sent[1].second.quarantine);
+  gateway.ended(firstHolder, sentRequests[0].second.key, moved, now);
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_EQ(sentRequests[1].second.tasks, std::vector<TaskIndex>{ 1 });
+  EXPECT_EQ(sentRequests[1].second.firstRun, 12u);
+  EXPECT_TRUE(sentRequests[1].second.quarantine);
 }
 
-TEST_F(GatewayTest, HowManyWorkersWereLostWithATaskIsPassedOn)
+TEST_F(GatewayTest, CrashCountsArePassedToTheNextHolder)
 {
   submit("a");
   JobEnd moved;
   moved.outcome = JobOutcome::Moved;
   moved.crashes = { { 1, 2 } };
-  gateway.ended(first, sent[0].second.key, moved, now);
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].second.crashes, moved.crashes);
+  gateway.ended(firstHolder, sentRequests[0].second.key, moved, now);
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_EQ(sentRequests[1].second.crashes, moved.crashes);
 }
 
-TEST_F(GatewayTest, WhereAMovedPartsRunsAreIsPassedOn)
+TEST_F(GatewayTest, WorkersWithRunsOfAMovedPartArePassedToTheNextHolder)
 {
   submit("a");
   JobEnd moved;
   moved.outcome = JobOutcome::Moved;
   moved.done = { 0 };
   moved.underWay = { { 2, WorkerId("w7") } };
-  gateway.ended(first, sent[0].second.key, moved, now);
-  ASSERT_EQ(sent.size(), 2u);
-  ASSERT_TRUE(sent[1].second.quarantine);
-  EXPECT_EQ(sent[1].second.quarantine->underWay, moved.underWay);
-  gateway.daemonLost(first, now);
+  gateway.ended(firstHolder, sentRequests[0].second.key, moved, now);
+  ASSERT_EQ(sentRequests.size(), 2u);
+  ASSERT_TRUE(sentRequests[1].second.quarantine);
+  EXPECT_EQ(sentRequests[1].second.quarantine->underWay, moved.underWay);
+  gateway.daemonLost(firstHolder, now);
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 3u);
-  ASSERT_TRUE(sent[2].second.quarantine);
-  EXPECT_FALSE(sent[2].second.quarantine->underWay)
-    << "what it has started since isn't known";
+  ASSERT_EQ(sentRequests.size(), 3u);
+  ASSERT_TRUE(sentRequests[2].second.quarantine);
+  EXPECT_FALSE(sentRequests[2].second.quarantine->underWay)
+    << "the runs that the lost holder has started since are unknown";
 }
 
-TEST_F(GatewayTest, TheSameJobAgainIsJoinedAndNotBegunTwice)
+TEST_F(GatewayTest, ADuplicateSubmissionJoinsTheJobInProgress)
 {
   submit("a");
   submit("a");
-  EXPECT_EQ(sent.size(), 1u);
+  EXPECT_EQ(sentRequests.size(), 1u);
   end(0, JobOutcome::Completed);
   EXPECT_EQ(answers.size(), 2u);
 }
 
-TEST_F(GatewayTest, TheLastCallerToLeaveCancelsTheJob)
+TEST_F(GatewayTest, TheLastCallerToDisconnectCancelsTheJob)
 {
   const Gateway::Ticket one = submit("a");
   const Gateway::Ticket two = submit("a");
@@ -492,11 +508,12 @@
   EXPECT_TRUE(cancelled.empty());
   gateway.callerGone(two, now);
   ASSERT_EQ(cancelled.size(), 1u);
-  EXPECT_EQ(cancelled[0].second, sent[0].second.key);
+  EXPECT_EQ(cancelled[0].second, sentRequests[0].second.key);
   EXPECT_EQ(gateway.waiting(), 0u);
 }
 
-TEST_F(GatewayTest, WithoutAnyHolderAJobIsRefusedWithinAQuarterOfItsIdealTime)
+TEST_F(GatewayTest,
+       WithoutAnyHolderAJobIsRefusedAfterAQuarterOfItsIdealResponseTime)
 {
   holders.clear();
   submit("a");
@@ -510,20 +527,20 @@
   EXPECT_GT(answers[0].retryAfter, Duration::zero());
 }
 
-TEST_F(GatewayTest, AJobWithAnUnresolvedStartIsAnsweredAtOnceWithWhenToComeBack)
+TEST_F(GatewayTest, AJobWithAnUnresolvedStartIsAnsweredAtOnceWithARetryDelay)
 {
   submit("a");
-  ASSERT_EQ(sent.size(), 1u);
+  ASSERT_EQ(sentRequests.size(), 1u);
   JobEnd end;
   end.outcome = JobOutcome::Unresolved;
   end.retryAfter = std::chrono::seconds(11);
-  gateway.ended(first, sent[0].second.key, end, now);
+  gateway.ended(firstHolder, sentRequests[0].second.key, end, now);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
   EXPECT_EQ(answers[0].retryAfter, std::chrono::seconds(11));
 }
 
-TEST_F(GatewayTest, AJobWhoseTimeIsOverIsCancelledAndItsOutcomeUnknown)
+TEST_F(GatewayTest, AnExpiredJobIsCancelledAndItsOutcomeIsUnknown)
 {
   submit("a");
   now += std::chrono::seconds(6);
@@ -533,103 +550,110 @@
   EXPECT_EQ(cancelled.size(), 1u);
 }
 
-/// Guards against leases that outlast the time at which a lost caller submits
-/// again: nothing else ends them while gateway and holder are in touch.
-TEST_F(GatewayTest, AHolderIsToldForHowLongAJobIsExclusive)
+/// Guards against runs that go on after a disconnected caller has submitted the
+/// job again. While the gateway and the holder are in contact, only the limit
+/// in the request ends the leases of these runs in time.
+TEST_F(GatewayTest, TheRequestToAHolderSaysForHowLongTheJobIsExclusive)
 {
   submit("a");
-  ASSERT_EQ(sent.size(), 1u);
-  EXPECT_EQ(sent[0].second.exclusiveFor, wantedRunLimit);
+  ASSERT_EQ(sentRequests.size(), 1u);
+  EXPECT_EQ(sentRequests[0].second.exclusiveFor, wantedRunLimit);
   now += milliseconds(300);
-  gateway.daemonLost(first, now);
+  gateway.daemonLost(firstHolder, now);
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].second.exclusiveFor, wantedRunLimit - milliseconds(300));
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_EQ(sentRequests[1].second.exclusiveFor,
+            wantedRunLimit - milliseconds(300));
 }
 
-/// Guards against a request that waited to be read and whose caller may have
-/// been gone since.
-TEST_F(GatewayTest, TheTimeInWhichARequestWaitedCounts)
+/// Guards against a job that counts as exclusive for too long. The request
+/// waits unread, and its caller may have disconnected meanwhile.
+TEST_F(GatewayTest, TheTimeThatARequestWaitedUnreadCounts)
 {
   submit("a", 3, milliseconds(500));
-  ASSERT_EQ(sent.size(), 1u);
-  EXPECT_EQ(sent[0].second.exclusiveFor, wantedRunLimit - milliseconds(500));
-  EXPECT_EQ(gateway.longJobs(now).size(), 1u) << "told at once";
+  ASSERT_EQ(sentRequests.size(), 1u);
+  EXPECT_EQ(sentRequests[0].second.exclusiveFor,
+            wantedRunLimit - milliseconds(500));
+  EXPECT_EQ(gateway.longJobs(now).size(), 1u) << "advertised at once";
 }
 
-/// Guards against long jobs that all end though everybody knows of them.
-TEST_F(GatewayTest, HoldersKeepAJobOnceTheOthersHaveBeenTold)
+/// Guards against long jobs that are ended although all other daemons know of
+/// them.
+TEST_F(GatewayTest, HoldersKeepAJobOnceOtherDaemonsHaveReadOfIt)
 {
   submit("a");
   const TimePoint longFrom = now + tellAfter;
   toldUntil = longFrom - Duration(1);
-  passTo(longFrom + milliseconds(20));
-  EXPECT_TRUE(kept.empty()) << "told of what was before";
+  advanceTo(longFrom + milliseconds(20));
+  EXPECT_TRUE(kept.empty())
+    << "the other daemons have read only of an earlier time";
   EXPECT_TRUE(gateway.hasUntoldJobs(now));
   toldUntil = longFrom;
   gateway.tick(now);
   ASSERT_EQ(kept.size(), 1u);
-  EXPECT_EQ(kept[0], std::pair(first, sent[0].second.key));
+  EXPECT_EQ(kept[0], std::pair(firstHolder, sentRequests[0].second.key));
   EXPECT_FALSE(gateway.hasUntoldJobs(now));
-  gateway.daemonLost(first, now);
+  gateway.daemonLost(firstHolder, now);
   gateway.tick(now);
-  ASSERT_EQ(sent.size(), 2u);
-  EXPECT_EQ(sent[1].second.exclusiveFor, Duration::max());
-  EXPECT_EQ(kept.size(), 1u) << "once";
+  ASSERT_EQ(sentRequests.size(), 2u);
+  EXPECT_EQ(sentRequests[1].second.exclusiveFor, Duration::max());
+  EXPECT_EQ(kept.size(), 1u) << "the keep is sent once";
 }
 
-/// Guards against a keep for a job that no heartbeat has listed yet.
+/// Guards against a holder that is told to keep a job before any heartbeat has
+/// listed the job.
 TEST_F(GatewayTest, AShortJobIsNotKept)
 {
   submit("a");
-  passTo(now + tellAfter - Duration(1));
+  advanceTo(now + tellAfter - Duration(1));
   EXPECT_TRUE(kept.empty());
   EXPECT_FALSE(gateway.hasUntoldJobs(now));
 }
 
-/// Guards against a job of which one part is kept and another one ends.
-TEST_F(GatewayTest, EachHolderOfAPartKeepsIt)
+/// Guards against a job of which one part goes on and another part is ended, as
+/// only one of the two holders is told to keep its part.
+TEST_F(GatewayTest, EachHolderOfAPartIsToldToKeepIt)
 {
   submit("a");
   returnTasks(0, { 1, 2 });
-  ASSERT_EQ(sent.size(), 2u);
-  passTo(now + tellAfter);
+  ASSERT_EQ(sentRequests.size(), 2u);
+  advanceTo(now + tellAfter);
   ASSERT_EQ(kept.size(), 2u);
-  EXPECT_EQ(kept[0], std::pair(first, sent[0].second.key));
-  EXPECT_EQ(kept[1], std::pair(second, sent[1].second.key));
+  EXPECT_EQ(kept[0], std::pair(firstHolder, sentRequests[0].second.key));
+  EXPECT_EQ(kept[1], std::pair(secondHolder, sentRequests[1].second.key));
 }
 
-/// Guards against a run beside that of the next submission, of which no daemon
-/// can tell this one.
-TEST_F(GatewayTest, AJobOfWhichTheOthersCannotBeToldEndsBeforeItMayComeAgain)
+/// Guards against a second, concurrent run. The caller submits its job again at
+/// another daemon, which couldn't be told that the job is in progress here.
+TEST_F(GatewayTest, AJobThatCannotBeAdvertisedEndsBeforeItMayBeResubmitted)
 {
   const TimePoint exclusiveUntil = now + wantedRunLimit;
   toldUntil = now;
   submit("a");
-  passTo(exclusiveUntil - untoldMargin - Duration(1));
+  advanceTo(exclusiveUntil - untoldMargin - Duration(1));
   EXPECT_TRUE(answers.empty());
   EXPECT_TRUE(cancelled.empty());
-  passTo(exclusiveUntil - untoldMargin);
+  advanceTo(exclusiveUntil - untoldMargin);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
   EXPECT_EQ(answers[0].retryAfter, lostRunLimit);
   ASSERT_EQ(cancelled.size(), 1u);
-  EXPECT_EQ(cancelled[0].second, sent[0].second.key);
+  EXPECT_EQ(cancelled[0].second, sentRequests[0].second.key);
 }
 
-/// Guards against a gateway's cancel that reaches the holder only when the
-/// leases of its workers have to end with the job.
-TEST(GatewayBounds, AnUntoldJobEndsAtItsGatewayBeforeItEndsAtItsHolder)
+/// Guards against a cancel that the holder receives too late: by then the
+/// workers' leases would have to end with the job.
+TEST(GatewayBounds, AnUnadvertisedJobEndsAtItsGatewayBeforeItsHolder)
 {
   EXPECT_GT(Gateway::Settings().untoldMargin, exclusiveMargin);
   EXPECT_LT(Gateway::Settings().tellAfter + milliseconds(450),
             wantedRunLimit - Gateway::Settings().untoldMargin)
-    << "time for three heartbeats";
+    << "there is time for three heartbeats";
 }
 
-/// Guards against a heartbeat that leaves out a job, which would be taken for
-/// over.
-TEST_F(GatewayTest, JobsUnderWayForLongAreListedWithTheirAges)
+/// Guards against a heartbeat that omits a job: other daemons would take the
+/// job for ended.
+TEST_F(GatewayTest, LongJobsAreListedWithTheirAges)
 {
   submit("a");
   now += milliseconds(200);
@@ -638,39 +662,40 @@
   EXPECT_TRUE(gateway.longJobs(now).empty());
   now += Duration(1);
   EXPECT_EQ(gateway.longJobs(now),
-            (std::vector<LongJob>{ { a, milliseconds(450) } }));
+            (std::vector<LongJob>{ { jobA, milliseconds(450) } }));
   now += milliseconds(200);
   EXPECT_EQ(gateway.longJobs(now),
-            (std::vector<LongJob>{ { a, milliseconds(650) },
+            (std::vector<LongJob>{ { jobA, milliseconds(650) },
                                    { JobId("b"), milliseconds(450) } }));
 }
 
-/// Guards against a job that is begun elsewhere while the runs of one that was
-/// given up are being stopped.
-TEST_F(GatewayTest, AJobGivenUpStaysListedUntilItsRunsAreOver)
+/// Guards against a job that another daemon starts while the runs of the
+/// abandoned job are still being stopped.
+TEST_F(GatewayTest, AnAbandonedJobStaysListedUntilItsRunsHaveEnded)
 {
-  giveUp("a");
+  abandonJob("a");
   const TimePoint overAt = now + lostRunLimit;
-  const std::vector<LongJob> listed = { { a, Duration::zero() } };
-  EXPECT_EQ(gateway.longJobs(now), listed);
-  passTo(overAt - Duration(1));
-  EXPECT_EQ(gateway.longJobs(now), listed);
-  passTo(overAt);
+  const std::vector<LongJob> listedJobs = { { jobA, Duration::zero() } };
+  EXPECT_EQ(gateway.longJobs(now), listedJobs);
+  advanceTo(overAt - Duration(1));
+  EXPECT_EQ(gateway.longJobs(now), listedJobs);
+  advanceTo(overAt);
   EXPECT_TRUE(gateway.longJobs(now).empty());
 }
 
-/// Guards against a job given up whose last runs were those of a lost holder.
-TEST_F(GatewayTest, AJobGivenUpWithoutAHolderStaysListedAsWell)
+/// Guards against an abandoned job that is no longer listed because it has no
+/// holder: runs that its lost holder orphaned may still be in progress.
+TEST_F(GatewayTest, AnAbandonedJobWithoutAHolderStaysListed)
 {
   const Gateway::Ticket ticket = submit("a");
   now += tellAfter;
-  gateway.daemonLost(first, now);
+  gateway.daemonLost(firstHolder, now);
   gateway.callerGone(ticket, now);
   EXPECT_EQ(gateway.longJobs(now).size(), 1u);
 }
 
-/// Guards against a second submission of an answered job that waits for runs
-/// that have ended.
+/// Guards against a second submission that waits although all runs of the first
+/// one have ended.
 TEST_F(GatewayTest, ACompletedJobIsNoLongerListed)
 {
   submit("a");
@@ -678,279 +703,290 @@
   end(0, JobOutcome::Completed);
   EXPECT_TRUE(gateway.longJobs(now).empty());
   submit("a");
-  EXPECT_EQ(sent.size(), 2u);
+  EXPECT_EQ(sentRequests.size(), 2u);
 }
 
-/// Guards against a job that runs for its lost caller beside its next
-/// submission's.
-TEST_F(GatewayTest, ARecalledJobIsStoppedAndTheTimeThatThisTakesTold)
+/// Guards against a job that runs for its disconnected caller while another
+/// daemon runs the caller's next submission.
+TEST_F(GatewayTest, ARecallStopsTheJobAndReturnsHowLongThatMayTake)
 {
   submit("a");
   now += tellAfter;
-  EXPECT_EQ(gateway.recall(other, { a }, now), lostRunLimit);
+  EXPECT_EQ(gateway.recall(otherDaemon, { jobA }, now), lostRunLimit);
   ASSERT_EQ(cancelled.size(), 1u);
-  EXPECT_EQ(cancelled[0].second, sent[0].second.key);
+  EXPECT_EQ(cancelled[0].second, sentRequests[0].second.key);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
   now += milliseconds(100);
-  EXPECT_EQ(gateway.recall(other, { a }, now), lostRunLimit - milliseconds(100))
-    << "the answer may have been lost with the connection";
+  EXPECT_EQ(gateway.recall(otherDaemon, { jobA }, now),
+            lostRunLimit - milliseconds(100))
+    << "the first answer may have been lost with its connection";
 }
 
-/// Guards against an answer by which a job that is at work counts as over.
-TEST_F(GatewayTest, ARecalledJobThatIsNotListedYetIsNotOverEither)
+/// Guards against an answer that reports a job as ended while it is in
+/// progress.
+TEST_F(GatewayTest, ARecallStopsAJobThatIsNotListedYet)
 {
   submit("a");
   now += milliseconds(100);
-  EXPECT_GT(gateway.recall(other, { a }, now), Duration::zero());
+  EXPECT_GT(gateway.recall(otherDaemon, { jobA }, now), Duration::zero());
   EXPECT_EQ(cancelled.size(), 1u);
 }
 
-/// Guards against a caller that waits for runs that have ended.
-TEST_F(GatewayTest, ARecalledJobThatHasEndedIsOver)
+/// Guards against a caller that has to wait for runs that have already ended.
+TEST_F(GatewayTest, ARecallOfAnEndedJobReturnsZero)
 {
   submit("a");
   now += tellAfter;
   end(0, JobOutcome::Completed);
-  EXPECT_EQ(gateway.recall(other, { a }, now), Duration::zero());
-  EXPECT_EQ(gateway.recall(other, { JobId("b") }, now), Duration::zero());
+  EXPECT_EQ(gateway.recall(otherDaemon, { jobA }, now), Duration::zero());
+  EXPECT_EQ(gateway.recall(otherDaemon, { JobId("b") }, now), Duration::zero());
 }
 
-/// Guards against a job begun here while it is at work for another daemon.
+/// Guards against a job that is started here while another daemon has it in
+/// progress.
 TEST_F(GatewayTest, AJobThatAnotherDaemonListsIsRecalledBeforeItIsPlaced)
 {
-  elsewhere[a] = { other, TimePoint() };
+  remoteJobs[jobA] = { otherDaemon, TimePoint() };
   submit("a");
   ASSERT_EQ(recalled.size(), 1u);
-  EXPECT_EQ(recalled[0], std::pair(other, a));
-  passTo(now + milliseconds(20));
-  EXPECT_TRUE(sent.empty());
-  gateway.recalled(second, a, Duration::zero(), now);
-  EXPECT_TRUE(sent.empty()) << "it wasn't asked";
-  elsewhere.clear();
-  gateway.recalled(other, a, Duration::zero(), now);
-  EXPECT_EQ(sent.size(), 1u);
-  gateway.recalled(other, a, Duration::zero(), now);
-  EXPECT_EQ(sent.size(), 1u) << "a second answer";
+  EXPECT_EQ(recalled[0], std::pair(otherDaemon, jobA));
+  advanceTo(now + milliseconds(20));
+  EXPECT_TRUE(sentRequests.empty());
+  gateway.recalled(secondHolder, jobA, Duration::zero(), now);
+  EXPECT_TRUE(sentRequests.empty()) << "this daemon wasn't asked";
+  remoteJobs.clear();
+  gateway.recalled(otherDaemon, jobA, Duration::zero(), now);
+  EXPECT_EQ(sentRequests.size(), 1u);
+  gateway.recalled(otherDaemon, jobA, Duration::zero(), now);
+  EXPECT_EQ(sentRequests.size(), 1u) << "a second answer";
   EXPECT_EQ(recalled.size(), 1u);
 }
 
-/// Guards against a second run while the first is being stopped.
-TEST_F(GatewayTest, ARecalledJobIsHeldUntilWhatRanOfItIsOver)
+/// Guards against a second run that starts while the first one is being
+/// stopped.
+TEST_F(GatewayTest, ARecalledJobIsHeldUntilItsEarlierRunsHaveEnded)
 {
-  elsewhere[a] = { other, TimePoint() };
+  remoteJobs[jobA] = { otherDaemon, TimePoint() };
   submit("a");
   const TimePoint overAt = now + milliseconds(300);
-  gateway.recalled(other, a, milliseconds(300), now);
-  gateway.recalled(other, a, Duration::zero(), now);
-  EXPECT_TRUE(sent.empty()) << "a second answer";
-  elsewhere.clear();
-  passTo(overAt - Duration(1));
-  EXPECT_TRUE(sent.empty());
+  gateway.recalled(otherDaemon, jobA, milliseconds(300), now);
+  gateway.recalled(otherDaemon, jobA, Duration::zero(), now);
+  EXPECT_TRUE(sentRequests.empty()) << "a second answer";
+  remoteJobs.clear();
+  advanceTo(overAt - Duration(1));
+  EXPECT_TRUE(sentRequests.empty());
   EXPECT_TRUE(answers.empty());
-  passTo(overAt);
-  EXPECT_EQ(sent.size(), 1u);
+  advanceTo(overAt);
+  EXPECT_EQ(sentRequests.size(), 1u);
 }
 
-/// Guards against a job that is held and then begun though meanwhile a third
-/// daemon has it.
-TEST_F(GatewayTest, AfterAHoldItIsAskedAgainWhereAJobIsUnderWay)
+/// Guards against a job that is started after a hold although a third daemon
+/// has received it meanwhile.
+TEST_F(GatewayTest, AfterAHoldTheDaemonOfAJobIsLookedUpAgain)
 {
-  elsewhere[a] = { other, TimePoint() };
+  remoteJobs[jobA] = { otherDaemon, TimePoint() };
   submit("a");
-  gateway.recalled(other, a, milliseconds(300), now);
-  elsewhere[a] = { second, TimePoint() };
-  passTo(now + milliseconds(300));
-  EXPECT_TRUE(sent.empty());
+  gateway.recalled(otherDaemon, jobA, milliseconds(300), now);
+  remoteJobs[jobA] = { secondHolder, TimePoint() };
+  advanceTo(now + milliseconds(300));
+  EXPECT_TRUE(sentRequests.empty());
   ASSERT_EQ(recalled.size(), 2u);
-  EXPECT_EQ(recalled[1].first, second);
+  EXPECT_EQ(recalled[1].first, secondHolder);
 }
 
-/// Guards against a caller that waits for nothing: it can come again in time.
-TEST_F(GatewayTest, AJobHeldForLongerThanItsTimeIsAnsweredWithWhenToComeBack)
+/// Guards against a caller that waits in vain until its deadline: it is
+/// answered at once and can submit the job again later.
+TEST_F(GatewayTest, AJobHeldBeyondItsDeadlineIsAnsweredWithARetryDelay)
 {
-  elsewhere[a] = { other, TimePoint() };
+  remoteJobs[jobA] = { otherDaemon, TimePoint() };
   submit("a");
-  gateway.recalled(other, a, milliseconds(4900), now);
+  gateway.recalled(otherDaemon, jobA, milliseconds(4900), now);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
   EXPECT_EQ(answers[0].retryAfter, milliseconds(4900));
-  EXPECT_TRUE(sent.empty());
+  EXPECT_TRUE(sentRequests.empty());
   EXPECT_EQ(gateway.waiting(), 0u);
 }
 
-/// Guards against a job that waits for the answer of a daemon that is gone, or
-/// is begun while that one's runs are at work.
-TEST_F(GatewayTest, AJobRecalledFromADaemonThatIsLostIsHeldUntilItsRunsAreOver)
+/// Guards against a job that waits forever for a lost daemon's answer to a
+/// recall, and against a job that is started while that daemon's orphaned runs
+/// are in progress.
+TEST_F(GatewayTest,
+       AJobRecalledFromALostDaemonIsHeldUntilItsOrphanedRunsHaveEnded)
 {
-  elsewhere[a] = { other, TimePoint() };
+  remoteJobs[jobA] = { otherDaemon, TimePoint() };
   submit("a");
-  elsewhere.clear();
-  gateway.daemonLost(other, now);
+  remoteJobs.clear();
+  gateway.daemonLost(otherDaemon, now);
   const TimePoint overAt = now + lostRunLimit;
-  // It is known to others by then, and so goes on.
-  passTo(now + tellAfter);
-  passTo(overAt - Duration(1));
-  EXPECT_TRUE(sent.empty());
-  passTo(overAt);
-  EXPECT_EQ(sent.size(), 1u);
+  // By then other daemons know of the job, so that it isn't ended.
+  advanceTo(now + tellAfter);
+  advanceTo(overAt - Duration(1));
+  EXPECT_TRUE(sentRequests.empty());
+  advanceTo(overAt);
+  EXPECT_EQ(sentRequests.size(), 1u);
 }
 
-/// Guards against a second run beside those that a lost daemon left.
-TEST_F(GatewayTest, AJobOfADaemonThatIsLostAlreadyIsHeld)
+/// Guards against a second run that starts while runs that a lost daemon
+/// orphaned are in progress.
+TEST_F(GatewayTest, AJobListedByALostDaemonIsHeldUntilItsOrphanedRunsHaveEnded)
 {
   const TimePoint overAt = now + milliseconds(800);
-  elsewhere[a] = { std::nullopt, overAt };
+  remoteJobs[jobA] = { std::nullopt, overAt };
   submit("a");
   EXPECT_TRUE(recalled.empty());
-  elsewhere.clear();
-  passTo(overAt - Duration(1));
-  EXPECT_TRUE(sent.empty());
-  passTo(overAt);
-  EXPECT_EQ(sent.size(), 1u);
+  remoteJobs.clear();
+  advanceTo(overAt - Duration(1));
+  EXPECT_TRUE(sentRequests.empty());
+  advanceTo(overAt);
+  EXPECT_EQ(sentRequests.size(), 1u);
 }
 
-/// Guards against a second run where the caller finds the daemon again that has
-/// just given up its job.
-TEST_F(GatewayTest, AJobThatComesAgainWhileItsRunsAreBeingStoppedIsHeld)
+/// Guards against a second run that starts when the caller submits its job
+/// again at the daemon that has just abandoned it, while the runs are still
+/// being stopped.
+TEST_F(GatewayTest, AJobResubmittedWhileItsRunsAreBeingStoppedIsHeld)
 {
-  giveUp("a");
+  abandonJob("a");
   const TimePoint overAt = now + lostRunLimit;
   now += milliseconds(10);
   submit("a");
   submit("a");
-  EXPECT_EQ(sent.size(), 1u);
-  passTo(now + tellAfter);
-  passTo(overAt - Duration(1));
-  EXPECT_EQ(sent.size(), 1u);
-  passTo(overAt);
-  ASSERT_EQ(sent.size(), 2u);
+  EXPECT_EQ(sentRequests.size(), 1u);
+  advanceTo(now + tellAfter);
+  advanceTo(overAt - Duration(1));
+  EXPECT_EQ(sentRequests.size(), 1u);
+  advanceTo(overAt);
+  ASSERT_EQ(sentRequests.size(), 2u);
   end(1, JobOutcome::Completed);
   EXPECT_EQ(answers.size(), 2u);
 }
 
-/// Guards against a daemon that knows nothing of a job that is held here, and
-/// begins it at the same time.
+/// Guards against another daemon that starts a job while it is held here, since
+/// the job isn't listed.
 TEST_F(GatewayTest, AHeldJobIsListedWhileItWaits)
 {
-  giveUp("a");
+  abandonJob("a");
   submit("a");
   now += tellAfter;
-  const std::vector<LongJob> listed = gateway.longJobs(now);
-  EXPECT_EQ(std::count(listed.begin(), listed.end(), LongJob{ a, tellAfter }),
+  const std::vector<LongJob> listedJobs = gateway.longJobs(now);
+  EXPECT_EQ(std::count(
+              listedJobs.begin(), listedJobs.end(), LongJob{ jobA, tellAfter }),
             1);
 }
 
-/// Guards against a caller that leaves and a job that is begun for nobody.
-TEST_F(GatewayTest, AJobWhoseCallerLeavesDuringARecallIsNotPlaced)
+/// Guards against a job that is started after its only caller has disconnected.
+TEST_F(GatewayTest, AJobWhoseCallerDisconnectsDuringARecallIsNotPlaced)
 {
-  elsewhere[a] = { other, TimePoint() };
+  remoteJobs[jobA] = { otherDaemon, TimePoint() };
   const Gateway::Ticket ticket = submit("a");
   gateway.callerGone(ticket, now);
-  gateway.recalled(other, a, Duration::zero(), now);
-  EXPECT_TRUE(sent.empty());
+  gateway.recalled(otherDaemon, jobA, Duration::zero(), now);
+  EXPECT_TRUE(sentRequests.empty());
   EXPECT_TRUE(cancelled.empty());
   EXPECT_EQ(gateway.waiting(), 0u);
 }
 
-/// Guards against two daemons that have both begun a job and let it run.
-TEST_F(GatewayTest, OfAJobThatTwoDaemonsHaveTheEarlierOneIsRecalled)
+/// Guards against a job that two daemons have both started and both let run.
+TEST_F(GatewayTest, TheEarlierOfTwoSubmissionsOfAJobIsRecalled)
 {
   submit("a");
   now += milliseconds(500);
-  gateway.told(other, { { a, milliseconds(1900) } }, now);
+  gateway.told(otherDaemon, { { jobA, milliseconds(1900) } }, now);
   ASSERT_EQ(recalled.size(), 1u);
-  EXPECT_EQ(recalled[0], std::pair(other, a));
+  EXPECT_EQ(recalled[0], std::pair(otherDaemon, jobA));
   EXPECT_TRUE(cancelled.empty());
 }
 
-/// Guards against daemons that recall a job from each other until it is at
-/// neither, and against recalls of other jobs or of those given up.
+/// Guards against two daemons that recall a job from each other until neither
+/// of them has it, and against recalls of other jobs or of abandoned jobs.
 TEST_F(GatewayTest, OnlyAnEarlierSubmissionOfTheSameJobIsRecalled)
 {
   submit("a");
   now += milliseconds(1900);
-  gateway.told(other,
-               { { a, milliseconds(500) },
-                 { a, Duration::zero() },
+  gateway.told(otherDaemon,
+               { { jobA, milliseconds(500) },
+                 { jobA, Duration::zero() },
                  { JobId("b"), milliseconds(3000) } },
                now);
   EXPECT_TRUE(recalled.empty());
 }
 
-/// Guards against a job that is asked for again with each heartbeat before the
-/// answer to the first.
+/// Guards against a recall that is repeated with each heartbeat before the
+/// first recall is answered.
 TEST_F(GatewayTest, AJobThatIsBeingRecalledIsNotRecalledTwice)
 {
-  elsewhere[a] = { other, TimePoint() };
+  remoteJobs[jobA] = { otherDaemon, TimePoint() };
   submit("a");
-  gateway.told(other, { { a, milliseconds(1900) } }, now);
+  gateway.told(otherDaemon, { { jobA, milliseconds(1900) } }, now);
   EXPECT_EQ(recalled.size(), 1u);
 }
 
-/// Guards against a job in the smaller part of a cut group that runs on while
-/// its caller is at the larger one.
-TEST_F(GatewayTest, AToldJobEndsWhereTheOthersCannotBeToldAnew)
+/// Guards against a job that runs on in the smaller part of a partitioned group
+/// while its caller submits it again in the larger part.
+TEST_F(GatewayTest, AnAdvertisedJobEndsWhereItCannotBeAdvertisedAgain)
 {
   submit("a");
   const TimePoint longFrom = now + tellAfter;
-  passTo(longFrom);
+  advanceTo(longFrom);
   ASSERT_EQ(kept.size(), 1u);
-  passTo(longFrom + milliseconds(2000));
+  advanceTo(longFrom + milliseconds(2000));
   EXPECT_TRUE(answers.empty());
   const TimePoint until = now + milliseconds(340);
   toldUntil = TimePoint();
   gateway.tellAnew(until);
   EXPECT_TRUE(gateway.hasUntoldJobs(now));
-  passTo(until - untoldMargin - Duration(1));
+  advanceTo(until - untoldMargin - Duration(1));
   EXPECT_TRUE(answers.empty());
-  passTo(until - untoldMargin);
+  advanceTo(until - untoldMargin);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
   EXPECT_EQ(cancelled.size(), 1u);
 }
 
-/// Guards against jobs that all end after each short cut.
-TEST_F(GatewayTest, AJobThatIsToldAnewGoesOn)
+/// Guards against long jobs that are all ended by a short partition.
+TEST_F(GatewayTest, AJobThatIsAdvertisedAgainContinues)
 {
   submit("a");
-  passTo(now + tellAfter);
-  passTo(now + milliseconds(2000));
+  advanceTo(now + tellAfter);
+  advanceTo(now + milliseconds(2000));
   toldUntil = TimePoint();
   gateway.tellAnew(now + milliseconds(340));
   gateway.tick(now);
   EXPECT_EQ(kept.size(), 1u);
   toldUntil.reset();
-  passTo(now + milliseconds(200));
+  advanceTo(now + milliseconds(200));
   EXPECT_EQ(kept.size(), 2u);
-  passTo(now + milliseconds(1000));
+  advanceTo(now + milliseconds(1000));
   EXPECT_TRUE(answers.empty());
 }
 
-/// Guards against a cut that shortens the time of a job that nobody else can
-/// have yet.
-TEST_F(GatewayTest, ToTellAnewTakesNothingFromAJobsFirstTime)
+/// Guards against a partition that shortens the initial exclusive time of a
+/// job, in which no other daemon can have received it.
+TEST_F(GatewayTest, AdvertisingAgainDoesNotShortenTheInitialExclusiveTime)
 {
   submit("a");
   const TimePoint exclusiveUntil = now + wantedRunLimit;
-  passTo(now + tellAfter);
+  advanceTo(now + tellAfter);
   toldUntil = TimePoint();
   gateway.tellAnew(now + milliseconds(340));
-  passTo(exclusiveUntil - untoldMargin - Duration(1));
+  advanceTo(exclusiveUntil - untoldMargin - Duration(1));
   EXPECT_TRUE(answers.empty());
-  passTo(exclusiveUntil - untoldMargin);
+  advanceTo(exclusiveUntil - untoldMargin);
   EXPECT_EQ(answers.size(), 1u);
 }
 
-/// Guards against a cut that gives a job that nobody was told of more time.
-TEST_F(GatewayTest, ToTellAnewGivesNothingToAnUntoldJob)
+/// Guards against a partition that extends the time of a job that was never
+/// advertised.
+TEST_F(GatewayTest, AdvertisingAgainDoesNotExtendAnUnadvertisedJob)
 {
   toldUntil = TimePoint();
   submit("a");
   const TimePoint exclusiveUntil = now + wantedRunLimit;
-  passTo(now + milliseconds(1100));
+  advanceTo(now + milliseconds(1100));
   gateway.tellAnew(now + milliseconds(340));
-  passTo(exclusiveUntil - untoldMargin);
+  advanceTo(exclusiveUntil - untoldMargin);
   EXPECT_EQ(answers.size(), 1u);
 }
 
