--- a/tests/entry/configurationfetch_test.cpp
+++ b/tests/entry/configurationfetch_test.cpp
@@ -8,7 +8,8 @@
 
 using std::chrono::milliseconds;
 
-/// A daemon in zone z0 that has version 17, and others that tell of 21.
+/// A daemon in zone z0 with version 17 in force, and peers that advertise
+/// version 21.
 class ConfigurationFetchTest : public ::testing::Test
 {
 protected:
@@ -26,18 +27,19 @@
     return settings;
   }
 
-  void told(const char* vm, const char* zone, std::uint64_t version)
+  void advertise(const char* vm, const char* zone, std::uint64_t version)
   {
     fetch.told(VmId(vm), ZoneName(zone), version);
   }
 
-  void pass(Duration duration) { now += duration; }
+  void advance(Duration duration) { now += duration; }
 
-  /// Lets the platform's head start go by.
-  void passHeadStart()
+  /// Advances the clock by the time that the daemon waits for the platform
+  /// before it asks a peer.
+  void waitForHeadStart()
   {
     EXPECT_FALSE(fetch.next(now, false));
-    pass(settings().headStart);
+    advance(settings().headStart);
   }
 
   std::optional<ConfigurationFetch::Request> next()
@@ -45,11 +47,11 @@
     return fetch.next(now, false);
   }
 
-  std::optional<std::string> part(const VmId& vm,
-                                  std::uint64_t version,
-                                  std::uint64_t offset,
-                                  const std::string& bytes,
-                                  std::uint64_t size = 10)
+  std::optional<std::string> receivePart(const VmId& vm,
+                                         std::uint64_t version,
+                                         std::uint64_t offset,
+                                         const std::string& bytes,
+                                         std::uint64_t size = 10)
   {
     return fetch.received(vm, { version, size, offset, bytes }, now);
   }
@@ -58,66 +60,67 @@
   TimePoint now{ std::chrono::seconds(1000) };
 };
 
-TEST_F(ConfigurationFetchTest, LeavesThePlatformItsHeadStart)
+TEST_F(ConfigurationFetchTest, WaitsForThePlatformBeforeItAsksAPeer)
 {
-  told("a", "z0", 21);
+  advertise("a", "z0", 21);
   EXPECT_FALSE(next());
-  pass(settings().headStart - milliseconds(1));
+  advance(settings().headStart - milliseconds(1));
   EXPECT_FALSE(next());
-  pass(milliseconds(1));
+  advance(milliseconds(1));
   EXPECT_TRUE(next());
 }
 
-TEST_F(ConfigurationFetchTest, LeavesThePlatformLongerWhileItsAnswerComes)
+TEST_F(ConfigurationFetchTest, WaitsLongerWhileThePlatformsAnswerArrives)
 {
-  told("a", "z0", 21);
+  advertise("a", "z0", 21);
   EXPECT_FALSE(fetch.next(now, true));
-  pass(settings().arrivalTime - milliseconds(1));
+  advance(settings().arrivalTime - milliseconds(1));
   EXPECT_FALSE(fetch.next(now, true));
-  pass(milliseconds(1));
+  advance(milliseconds(1));
   EXPECT_TRUE(fetch.next(now, true));
 }
 
-TEST_F(ConfigurationFetchTest, AsksNobodyForWhatIsInForce)
+TEST_F(ConfigurationFetchTest, DoesNotRequestWhatIsInForce)
 {
-  told("a", "z0", 17);
-  told("b", "z0", 14);
-  passHeadStart();
+  advertise("a", "z0", 17);
+  advertise("b", "z0", 14);
+  waitForHeadStart();
   EXPECT_FALSE(next());
   EXPECT_EQ(fetch.newest(), 17u);
 }
 
 TEST_F(ConfigurationFetchTest, AsksOneDaemonAtATimeAndOneOfItsZoneFirst)
 {
-  told("a", "z1", 21);
-  told("b", "z0", 21);
-  told("c", "z1", 21);
-  passHeadStart();
+  advertise("a", "z1", 21);
+  advertise("b", "z0", 21);
+  advertise("c", "z1", 21);
+  waitForHeadStart();
   EXPECT_EQ(next()->vm, VmId("b"));
-  EXPECT_FALSE(next()) << "a part is under way";
+  EXPECT_FALSE(next()) << "the request for a part is in progress";
 }
 
-TEST_F(ConfigurationFetchTest, GoesOnAtOnceUntilItHasTheWhole)
+TEST_F(ConfigurationFetchTest, RequestsPartAfterPartUntilItHasAll)
 {
-  told("a", "z0", 21);
-  passHeadStart();
+  advertise("a", "z0", 21);
+  waitForHeadStart();
   EXPECT_EQ(next()->message.offset, 0u);
-  EXPECT_FALSE(part(VmId("a"), 21, 0, "0123"));
+  EXPECT_FALSE(receivePart(VmId("a"), 21, 0, "0123"));
   const auto second = next();
   ASSERT_TRUE(second);
   EXPECT_EQ(second->message.version, 21u);
   EXPECT_EQ(second->message.offset, 4u);
-  EXPECT_FALSE(part(VmId("a"), 21, 0, "0123")) << "the same part again";
-  EXPECT_EQ(part(VmId("a"), 21, 4, "456789"), "0123456789");
+  EXPECT_FALSE(receivePart(VmId("a"), 21, 0, "0123"))
+    << "the same part arrives again";
+  EXPECT_EQ(receivePart(VmId("a"), 21, 4, "456789"), "0123456789");
 }
 
-TEST_F(ConfigurationFetchTest, GoesOnWithAnotherDaemonWhereOneIsLost)
+TEST_F(ConfigurationFetchTest, ResumesFromAnotherDaemonWhenOneIsLost)
 {
-  told("a", "z0", 21);
-  told("b", "z1", 21);
-  passHeadStart();
+  advertise("a", "z0", 21);
+  advertise("b", "z1", 21);
+  waitForHeadStart();
   ASSERT_EQ(next()->vm, VmId("a"));
-  part(VmId("a"), 21, 0, "0123");
+  receivePart(VmId("a"), 21, 0, "0123");
   next();
   fetch.lost(VmId("a"));
   const auto other = next();
@@ -126,149 +129,153 @@
   EXPECT_EQ(other->message.offset, 4u);
 }
 
-TEST_F(ConfigurationFetchTest, AsksAnotherWhereOneGivesNoAnswer)
+TEST_F(ConfigurationFetchTest, AsksAnotherDaemonWhenOneDoesNotAnswer)
 {
-  told("a", "z0", 21);
-  told("b", "z1", 21);
-  passHeadStart();
+  advertise("a", "z0", 21);
+  advertise("b", "z1", 21);
+  waitForHeadStart();
   ASSERT_EQ(next()->vm, VmId("a"));
-  pass(settings().answerTime);
+  advance(settings().answerTime);
   EXPECT_EQ(next()->vm, VmId("b"));
 }
 
-TEST_F(ConfigurationFetchTest, AsksAnotherWhereOneIsBusyAndThatOneLaterAgain)
+TEST_F(ConfigurationFetchTest,
+       AsksAnotherDaemonWhenOneIsBusyAndRetriesTheBusyOneLater)
 {
-  told("a", "z0", 21);
-  told("b", "z1", 21);
-  passHeadStart();
+  advertise("a", "z0", 21);
+  advertise("b", "z1", 21);
+  waitForHeadStart();
   ASSERT_EQ(next()->vm, VmId("a"));
   fetch.busy(VmId("a"), now);
   ASSERT_EQ(next()->vm, VmId("b"));
   fetch.busy(VmId("b"), now);
   EXPECT_FALSE(next());
-  pass(settings().busyPause);
+  advance(settings().busyPause);
   EXPECT_EQ(next()->vm, VmId("a"));
 }
 
-TEST_F(ConfigurationFetchTest, KeepsTheSourceThatHasANewerVersionMeanwhile)
+TEST_F(ConfigurationFetchTest,
+       ContinuesTheTransferWhenTheSourceAdvertisesANewerVersion)
 {
-  told("a", "z0", 21);
-  passHeadStart();
+  advertise("a", "z0", 21);
+  waitForHeadStart();
   next();
-  part(VmId("a"), 21, 0, "0123");
-  told("a", "z0", 23);
-  told("b", "z0", 23);
+  receivePart(VmId("a"), 21, 0, "0123");
+  advertise("a", "z0", 23);
+  advertise("b", "z0", 23);
   const auto request = next();
   ASSERT_TRUE(request);
   EXPECT_EQ(request->vm, VmId("a"));
   EXPECT_EQ(request->message.version, 21u);
 }
 
-TEST_F(ConfigurationFetchTest, BeginsAnewWhereNobodyHasTheVersionAnyMore)
+TEST_F(ConfigurationFetchTest, StartsOverWhenNoDaemonHasTheVersionAnyMore)
 {
-  told("a", "z0", 23);
-  told("b", "z0", 21);
-  passHeadStart();
+  advertise("a", "z0", 23);
+  advertise("b", "z0", 21);
+  waitForHeadStart();
   ASSERT_EQ(next()->vm, VmId("a"));
-  part(VmId("a"), 23, 0, "0123");
+  receivePart(VmId("a"), 23, 0, "0123");
   fetch.lost(VmId("a"));
   const auto request = next();
   ASSERT_TRUE(request);
   EXPECT_EQ(request->vm, VmId("b"));
   EXPECT_EQ(request->message.version, 0u);
-  EXPECT_EQ(part(VmId("b"), 21, 0, "0123456789"), "0123456789");
+  EXPECT_EQ(receivePart(VmId("b"), 21, 0, "0123456789"), "0123456789");
 }
 
-TEST_F(ConfigurationFetchTest, DropsWhatThePlatformHasBroughtMeanwhile)
+TEST_F(ConfigurationFetchTest,
+       DropsTheTransferWhenThePlatformDeliversTheVersion)
 {
-  told("a", "z0", 21);
-  passHeadStart();
+  advertise("a", "z0", 21);
+  waitForHeadStart();
   next();
-  part(VmId("a"), 21, 0, "0123");
+  receivePart(VmId("a"), 21, 0, "0123");
   fetch.setInForce(21, true);
   EXPECT_FALSE(next());
-  EXPECT_FALSE(part(VmId("a"), 21, 4, "456789"));
+  EXPECT_FALSE(receivePart(VmId("a"), 21, 4, "456789"));
 }
 
-TEST_F(ConfigurationFetchTest, WaitsAfterAConfigurationThatCouldNotBeRead)
+TEST_F(ConfigurationFetchTest, WaitsAfterAConfigurationThatCouldNotBeParsed)
 {
-  told("a", "z0", 21);
-  passHeadStart();
+  advertise("a", "z0", 21);
+  waitForHeadStart();
   next();
-  ASSERT_TRUE(part(VmId("a"), 21, 0, "0123456789"));
+  ASSERT_TRUE(receivePart(VmId("a"), 21, 0, "0123456789"));
   fetch.refused(now);
   EXPECT_FALSE(next());
-  pass(settings().refusedPause);
+  advance(settings().refusedPause);
   EXPECT_TRUE(next());
 }
 
-TEST_F(ConfigurationFetchTest, ThePartsLengthFollowsTheTimeOneTakes)
+TEST_F(ConfigurationFetchTest, AdaptsThePartSizeToTheTransferTime)
 {
-  told("a", "z0", 21);
-  passHeadStart();
+  advertise("a", "z0", 21);
+  waitForHeadStart();
   const std::uint64_t first = next()->message.maxBytes;
-  pass(milliseconds(5));
-  part(VmId("a"), 21, 0, "0");
+  advance(milliseconds(5));
+  receivePart(VmId("a"), 21, 0, "0");
   EXPECT_EQ(next()->message.maxBytes, 2 * first);
-  pass(milliseconds(50));
-  part(VmId("a"), 21, 1, "1");
+  advance(milliseconds(50));
+  receivePart(VmId("a"), 21, 1, "1");
   EXPECT_EQ(next()->message.maxBytes, 2 * first);
-  pass(milliseconds(200));
-  part(VmId("a"), 21, 2, "2");
+  advance(milliseconds(200));
+  receivePart(VmId("a"), 21, 2, "2");
   EXPECT_EQ(next()->message.maxBytes, first);
 }
 
 TEST_F(ConfigurationFetchTest,
-       BeginsAnewWhereTwoDaemonsDifferInTheSizeOfAVersion)
+       StartsOverWhenTwoDaemonsDifferInTheSizeOfAVersion)
 {
-  told("a", "z0", 21);
-  told("b", "z1", 21);
-  passHeadStart();
+  advertise("a", "z0", 21);
+  advertise("b", "z1", 21);
+  waitForHeadStart();
   ASSERT_EQ(next()->vm, VmId("a"));
-  part(VmId("a"), 21, 0, "0123");
+  receivePart(VmId("a"), 21, 0, "0123");
   fetch.lost(VmId("a"));
   ASSERT_EQ(next()->vm, VmId("b"));
-  EXPECT_FALSE(part(VmId("b"), 21, 4, "4567", 8));
+  EXPECT_FALSE(receivePart(VmId("b"), 21, 4, "4567", 8));
   EXPECT_FALSE(next());
-  pass(settings().silentPause);
+  advance(settings().silentPause);
   const auto request = next();
   ASSERT_TRUE(request);
   EXPECT_EQ(request->message.offset, 0u);
 }
 
-struct BadPart
+/// A part of a configuration that the receiver has to reject.
+struct InvalidPart
 {
   const char* name;
   PeerConfigPart part;
 };
 
-class BadConfigurationPart
+class InvalidConfigurationPart
   : public ConfigurationFetchTest
-  , public ::testing::WithParamInterface<BadPart>
+  , public ::testing::WithParamInterface<InvalidPart>
 {};
 
-TEST_P(BadConfigurationPart, IsNotTaken)
+TEST_P(InvalidConfigurationPart, IsRejected)
 {
-  told("a", "z0", 21);
-  passHeadStart();
+  advertise("a", "z0", 21);
+  waitForHeadStart();
   next();
   EXPECT_FALSE(fetch.received(VmId("a"), GetParam().part, now));
-  EXPECT_FALSE(next()) << "asked again at once, two daemons would do nothing "
-                          "else";
-  pass(settings().silentPause);
+  EXPECT_FALSE(next()) << "if the peer were asked again at once, two daemons "
+                          "would do nothing else";
+  advance(settings().silentPause);
   EXPECT_EQ(next()->message.offset, 0u);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   All,
-  BadConfigurationPart,
-  ::testing::Values(BadPart{ "Empty", { 21, 10, 0, "" } },
-                    BadPart{ "LongerThanTheWhole", { 21, 2, 0, "0123" } },
-                    BadPart{ "BeyondTheWhole", { 21, 10, 11, "0" } },
-                    BadPart{ "LargerThanAllowed",
-                             { 21, std::uint64_t(1) << 62, 0, "0" } },
-                    BadPart{ "Older", { 17, 4, 0, "0123" } },
-                    BadPart{ "NotTheFirst", { 21, 10, 4, "4567" } }),
+  InvalidConfigurationPart,
+  ::testing::Values(
+    InvalidPart{ "Empty", { 21, 10, 0, "" } },
+    InvalidPart{ "LongerThanTheConfiguration", { 21, 2, 0, "0123" } },
+    InvalidPart{ "BeyondTheEnd", { 21, 10, 11, "0" } },
+    InvalidPart{ "LargerThanAllowed", { 21, std::uint64_t(1) << 62, 0, "0" } },
+    InvalidPart{ "Older", { 17, 4, 0, "0123" } },
+    InvalidPart{ "NotTheFirst", { 21, 10, 4, "4567" } }),
   [](const auto& info) { return std::string(info.param.name); });
 
 class ConfigurationSourceTest : public ::testing::Test
@@ -280,10 +287,10 @@
     source.setInForce(21, std::string(3000, 'a'));
   }
 
-  PeerMessage ask(const char* vm,
-                  std::uint64_t version = 0,
-                  std::uint64_t offset = 0,
-                  std::uint64_t maxBytes = 2000)
+  PeerMessage request(const char* vm,
+                      std::uint64_t version = 0,
+                      std::uint64_t offset = 0,
+                      std::uint64_t maxBytes = 2000)
   {
     return source.answer(VmId(vm), { version, offset, maxBytes }, now);
   }
@@ -299,56 +306,57 @@
 
 TEST_F(ConfigurationSourceTest, SendsPartAfterPart)
 {
-  const auto first = std::get<PeerConfigPart>(ask("a"));
+  const auto first = std::get<PeerConfigPart>(request("a"));
   EXPECT_EQ(first.version, 21u);
   EXPECT_EQ(first.size, 3000u);
   EXPECT_EQ(first.offset, 0u);
   EXPECT_EQ(first.bytes.size(), 2000u);
-  const auto second = std::get<PeerConfigPart>(ask("a", 21, 2000));
+  const auto second = std::get<PeerConfigPart>(request("a", 21, 2000));
   EXPECT_EQ(second.offset, 2000u);
   EXPECT_EQ(second.bytes.size(), 1000u);
 }
 
-TEST_F(ConfigurationSourceTest, ServesTwoAtATimeUntilTheyHaveAllOrAreGone)
+TEST_F(ConfigurationSourceTest, ServesTwoReceiversAtATimeUntilTheyAreDoneOrLost)
 {
-  ask("a");
-  ask("b");
-  EXPECT_TRUE(isBusy(ask("c")));
-  ask("a", 21, 2000);
-  EXPECT_FALSE(isBusy(ask("c"))) << "a has all";
-  EXPECT_TRUE(isBusy(ask("d")));
+  request("a");
+  request("b");
+  EXPECT_TRUE(isBusy(request("c")));
+  request("a", 21, 2000);
+  EXPECT_FALSE(isBusy(request("c"))) << "a has received everything";
+  EXPECT_TRUE(isBusy(request("d")));
   source.lost(VmId("b"));
-  EXPECT_FALSE(isBusy(ask("d")));
-  EXPECT_TRUE(isBusy(ask("e")));
+  EXPECT_FALSE(isBusy(request("d")));
+  EXPECT_TRUE(isBusy(request("e")));
   now += milliseconds(601);
-  EXPECT_FALSE(isBusy(ask("e"))) << "c and d have asked for nothing";
+  EXPECT_FALSE(isBusy(request("e")))
+    << "c and d have requested nothing for the idle limit";
 }
 
-TEST_F(ConfigurationSourceTest, EndsWithTheVersionThatItBeganWith)
+TEST_F(ConfigurationSourceTest, CompletesATransferWithTheVersionItBeganWith)
 {
-  ask("a");
+  request("a");
   source.setInForce(23, std::string(3000, 'b'));
-  const auto rest = std::get<PeerConfigPart>(ask("a", 21, 2000));
+  const auto rest = std::get<PeerConfigPart>(request("a", 21, 2000));
   EXPECT_EQ(rest.version, 21u);
   EXPECT_EQ(rest.bytes, std::string(1000, 'a'));
-  const auto next = std::get<PeerConfigPart>(ask("a"));
+  const auto next = std::get<PeerConfigPart>(request("a"));
   EXPECT_EQ(next.version, 23u);
 }
 
-TEST_F(ConfigurationSourceTest, GoesOnWhereAnotherHasStopped)
+TEST_F(ConfigurationSourceTest, ContinuesATransferThatAnotherSourceBegan)
 {
-  const auto part = std::get<PeerConfigPart>(ask("a", 21, 2000));
+  const auto part = std::get<PeerConfigPart>(request("a", 21, 2000));
   EXPECT_EQ(part.offset, 2000u);
 }
 
-TEST_F(ConfigurationSourceTest, BeginsAtTheStartOfAnotherVersion)
+TEST_F(ConfigurationSourceTest, StartsOverWhenAskedForAnotherVersion)
 {
-  const auto part = std::get<PeerConfigPart>(ask("a", 19, 2000));
+  const auto part = std::get<PeerConfigPart>(request("a", 19, 2000));
   EXPECT_EQ(part.version, 21u);
   EXPECT_EQ(part.offset, 0u);
 }
 
-TEST_F(ConfigurationSourceTest, HasNothingToSendBeforeItsFirstConfiguration)
+TEST_F(ConfigurationSourceTest, IsBusyBeforeItsFirstConfiguration)
 {
   ConfigurationSource empty{ ConfigurationSource::Settings() };
   EXPECT_TRUE(isBusy(empty.answer(VmId("a"), { 0, 0, 2000 }, now)));
--- a/tests/entry/directoryreaders_test.cpp
+++ b/tests/entry/directoryreaders_test.cpp
@@ -7,10 +7,10 @@
 namespace cowslippin::testing {
 namespace {
 
-const ZoneName home("z1");
+const ZoneName homeZone("z1");
 
 MemberView
-member(const std::string& id, int slowness, const ZoneName& zone = home)
+member(const std::string& id, int slowness, const ZoneName& zone = homeZone)
 {
   MemberView view;
   view.id = VmId(id);
@@ -35,33 +35,33 @@
                                    member("b", 9),
                                    member("c", 8),
                                    member("x", 1, ZoneName("z2")) });
-  const DirectoryReaders self(VmId("self"), home, 5);
+  const DirectoryReaders self(VmId("self"), homeZone, 5);
   EXPECT_TRUE(self.isReader(members));
   EXPECT_EQ(self.followers(members),
             (std::vector<VmId>{ VmId("c"), VmId("b") }));
-  const DirectoryReaders slow(VmId("slow"), home, 10);
+  const DirectoryReaders slow(VmId("slow"), homeZone, 10);
   EXPECT_FALSE(slow.isReader(members));
   EXPECT_TRUE(slow.followers(members).empty());
 }
 
-TEST(DirectoryReaders, ThoseThatLeaveOrKnowNothingYetDoNotRead)
+TEST(DirectoryReaders, DaemonsThatAreLeavingOrNotReadyDoNotRead)
 {
   MemberView leaving = member("a", 1);
   leaving.isLeaving = true;
   MemberView unready = member("b", 1);
   unready.isReady = false;
   const auto members = membersOf({ leaving, unready, member("c", 2) });
-  EXPECT_TRUE(DirectoryReaders(VmId("self"), home, 5).isReader(members));
+  EXPECT_TRUE(DirectoryReaders(VmId("self"), homeZone, 5).isReader(members));
 }
 
-TEST(DirectoryReaders, ADaemonThatHearsNobodyReads)
+TEST(DirectoryReaders, ADaemonWithoutPeersReads)
 {
-  EXPECT_TRUE(DirectoryReaders(VmId("self"), home, 5).isReader({}));
+  EXPECT_TRUE(DirectoryReaders(VmId("self"), homeZone, 5).isReader({}));
 }
 
-/// Three hundred daemons: what the platform is asked for doesn't grow with
-/// them.
-TEST(DirectoryReaders, AreAsManyInALargeZone)
+/// Guards against load on the platform that grows with the number of daemons:
+/// in a zone of 300 daemons as many read the list of workers as in a small one.
+TEST(DirectoryReaders, DoNotGrowInNumberWithTheZone)
 {
   MemberIndex::Members all;
   for (int i = 0; i < 300; ++i) {
@@ -72,7 +72,7 @@
   for (const auto& [vm, view] : all) {
     MemberIndex::Members others = all;
     others.erase(vm);
-    readers += DirectoryReaders(vm, home, view.slowness).isReader(others);
+    readers += DirectoryReaders(vm, homeZone, view.slowness).isReader(others);
   }
   EXPECT_EQ(readers, DirectoryReaders::perZone);
 }
--- a/tests/entry/entrycore_test.cpp
+++ b/tests/entry/entrycore_test.cpp
@@ -14,7 +14,10 @@
 const VmId self("self");
 const VmId peer("peer");
 
-/// A daemon without workers. Records the calls of `Links::setClose`.
+/// A daemon without workers, connected to one peer. The fixture records the
+/// messages that the daemon sends and its calls of `Links::setClose`. A peer is
+/// close while it has jobs in common with the daemon, so that its loss has to
+/// be detected soon.
 class EntryCoreTest : public ::testing::Test
 {
 protected:
@@ -52,17 +55,17 @@
     links.send = [this](const VmId& vm, const PeerMessage& message) {
       sent.push_back(message);
       if (std::holds_alternative<PeerRecall>(message))
-        asked.push_back(vm);
+        recalledFrom.push_back(vm);
       return true;
     };
     links.sendToEach = [](const std::vector<VmId>&, const PeerMessage&) {};
     links.setClose = [this](const VmId& vm, bool isClose) {
-      closeUpdates.emplace_back(vm, isClose);
+      closeFlagUpdates.emplace_back(vm, isClose);
     };
     links.isUp = [](const VmId&) { return true; };
-    links.up = [this] { return up; };
+    links.up = [this] { return connected; };
     links.knownCount = [] { return std::size_t(1); };
-    links.dropAll = [this] { lose(PeerLoss::Closed); };
+    links.dropAll = [this] { disconnect(PeerLoss::Closed); };
     links.post = [](const std::function<void()>&) {};
     return links;
   }
@@ -85,9 +88,9 @@
     core.peerUp(hello);
   }
 
-  void lose(PeerLoss loss)
+  void disconnect(PeerLoss loss)
   {
-    if (up.erase(peer) > 0)
+    if (connected.erase(peer) > 0)
       core.peerDown(peer, loss);
   }
 
@@ -101,8 +104,9 @@
     core.workersRead({ { fields.id, WorkerRecord(fields) } });
   }
 
-  /// A daemon has these jobs under way. The peer holds the zone's workers.
-  void receiveList(const VmId& vm, std::vector<LongJob> jobs)
+  /// Receives a heartbeat of a daemon that lists these jobs as in progress. The
+  /// peer also advertises the shard of the zone's workers.
+  void receiveHeartbeat(const VmId& vm, std::vector<LongJob> jobs)
   {
     PeerBeat beat;
     beat.isReady = true;
@@ -113,9 +117,9 @@
     core.received(vm, beat);
   }
 
-  void receiveBeat(std::vector<LongJob> jobs = {})
+  void receivePeerHeartbeat(std::vector<LongJob> jobs = {})
   {
-    receiveList(peer, std::move(jobs));
+    receiveHeartbeat(peer, std::move(jobs));
   }
 
   void submit(const std::string& job)
@@ -129,29 +133,30 @@
                 [this](const JobAnswer& answer) { answers.push_back(answer); });
   }
 
-  void pass(int ms)
+  void advance(int ms)
   {
-    for (int passed = 0; passed < ms; passed += 20) {
+    for (int elapsedMs = 0; elapsedMs < ms; elapsedMs += 20) {
       now += std::chrono::milliseconds(20);
       core.tick();
     }
   }
 
-  /// A job that the peer holds and has acknowledged to know of.
-  void keepJob(const std::string& job)
+  /// Submits a job and lets the peer, its holder, acknowledge a heartbeat that
+  /// lists the job, so that the holder is told to keep it.
+  void submitKeptJob(const std::string& job)
   {
     connect();
     listWorker();
-    receiveBeat();
+    receivePeerHeartbeat();
     submit(job);
-    pass(460);
+    advance(460);
     const auto stamp = PeerContact::stamp(now);
     core.received(peer, PeerBeatAck{ stamp, stamp });
-    pass(20);
+    advance(20);
     EXPECT_EQ(sentOf<PeerKeep>().size(), 1u);
   }
 
-  /// Of the messages of one kind that were sent.
+  /// The messages of type `Message` that were sent.
   template<class Message>
   std::vector<Message> sentOf() const
   {
@@ -172,47 +177,50 @@
     core.received(peer, PeerSubmit{ request });
   }
 
-  using CloseUpdate = std::pair<VmId, bool>;
+  using CloseFlagUpdate = std::pair<VmId, bool>;
 
   TimePoint now{ std::chrono::seconds(100) };
-  std::vector<CloseUpdate> closeUpdates;
-  std::set<VmId> up{ peer };
+  std::vector<CloseFlagUpdate> closeFlagUpdates;
+  std::set<VmId> connected{ peer };
   std::vector<PeerMessage> sent;
-  /// The daemons that were sent a recall.
-  std::vector<VmId> asked;
+  /// The daemons to which a recall was sent, in order.
+  std::vector<VmId> recalledFrom;
   std::vector<JobAnswer> answers;
   std::uint64_t lastPart = 0;
   EntryCore core;
 };
 
-/// Guards against a replaced connection that only one daemon reports as lost.
-TEST_F(EntryCoreTest, AReplacementConnectionToAClosePeerIsMarkedClose)
+/// Guards against a new connection to a close peer that isn't marked as close.
+/// The connection replaces an older one whose loss only the other daemon has
+/// reported.
+TEST_F(EntryCoreTest, AReplacementConnectionToAClosePeerIsMarkedAsClose)
 {
   connect();
   receiveJob();
-  closeUpdates.clear();
+  closeFlagUpdates.clear();
   connect();
-  ASSERT_EQ(closeUpdates.size(), 1u);
-  EXPECT_EQ(closeUpdates[0], CloseUpdate(peer, true));
+  ASSERT_EQ(closeFlagUpdates.size(), 1u);
+  EXPECT_EQ(closeFlagUpdates[0], CloseFlagUpdate(peer, true));
 }
 
-/// The peer is close already, but its connection may be new and unmarked.
-TEST_F(EntryCoreTest, AReceivedJobMarksTheConnectionClose)
+/// Guards against an unmarked connection to a peer that counts as close
+/// already: its connection may be new.
+TEST_F(EntryCoreTest, AReceivedJobMarksTheConnectionAsClose)
 {
   receiveJob();
-  closeUpdates.clear();
+  closeFlagUpdates.clear();
   receiveJob();
-  ASSERT_FALSE(closeUpdates.empty());
-  EXPECT_EQ(closeUpdates.back(), CloseUpdate(peer, true));
+  ASSERT_FALSE(closeFlagUpdates.empty());
+  EXPECT_EQ(closeFlagUpdates.back(), CloseFlagUpdate(peer, true));
 }
 
-/// Guards against a loss that doesn't tell whose jobs it concerns.
-TEST_F(EntryCoreTest, ALostDaemonIsToldWithTheJobsInCommon)
+/// Guards against a log of a lost peer that doesn't name the jobs concerned.
+TEST_F(EntryCoreTest, TheLogOfALostPeerNamesTheJobsInCommon)
 {
   LogCapture log;
   connect();
   listWorker();
-  receiveBeat();
+  receivePeerHeartbeat();
   submit("mine");
   now += std::chrono::milliseconds(120);
   core.peerDown(peer, PeerLoss::Silent);
@@ -226,19 +234,20 @@
   EXPECT_EQ(lines[0]["jobsHeldFor"], 0);
 }
 
-TEST_F(EntryCoreTest, AConnectionWithoutJobsInCommonIsNotMarkedClose)
+TEST_F(EntryCoreTest, AConnectionWithoutJobsInCommonIsNotMarkedAsClose)
 {
   connect();
-  ASSERT_EQ(closeUpdates.size(), 1u);
-  EXPECT_EQ(closeUpdates[0], CloseUpdate(peer, false));
+  ASSERT_EQ(closeFlagUpdates.size(), 1u);
+  EXPECT_EQ(closeFlagUpdates[0], CloseFlagUpdate(peer, false));
 }
 
-/// Guards against a job begun here while the peer's caller has it under way.
+/// Guards against a job that is started here while the peer has it in progress
+/// for a caller.
 TEST_F(EntryCoreTest, AJobThatAPeerListsIsRecalledAndThenPlaced)
 {
   connect();
   listWorker();
-  receiveBeat({ { JobId("a"), std::chrono::milliseconds(900) } });
+  receivePeerHeartbeat({ { JobId("a"), std::chrono::milliseconds(900) } });
   submit("a");
   ASSERT_EQ(sentOf<PeerRecall>().size(), 1u);
   EXPECT_EQ(sentOf<PeerRecall>()[0].job, JobId("a"));
@@ -247,14 +256,15 @@
   EXPECT_EQ(sentOf<PeerSubmit>().size(), 1u);
 }
 
-/// Guards against a peer that waits for the answer to its recall.
+/// Guards against a peer whose recall is never answered, and whose submission
+/// therefore waits.
 TEST_F(EntryCoreTest, ARecallIsAnsweredWhetherTheJobIsThereOrNot)
 {
   connect();
   listWorker();
-  receiveBeat();
+  receivePeerHeartbeat();
   submit("a");
-  pass(500);
+  advance(500);
   core.received(peer, PeerRecall{ JobId("a") });
   core.received(peer, PeerRecall{ JobId("b") });
   const auto recalled = sentOf<PeerRecalled>();
@@ -268,24 +278,25 @@
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
 }
 
-/// Guards against a daemon that has just started and doesn't know yet what is
-/// under way at others.
-TEST_F(EntryCoreTest, AJobWaitsUntilTheOthersHaveTold)
+/// Guards against a duplicate run. A daemon that has just started doesn't know
+/// yet which jobs other daemons have in progress.
+TEST_F(EntryCoreTest, AJobWaitsUntilOtherDaemonsHaveSentTheirLists)
 {
   listWorker();
   submit("a");
-  pass(100);
+  advance(100);
   EXPECT_TRUE(sentOf<PeerSubmit>().empty());
   connect();
-  receiveBeat({ { JobId("a"), std::chrono::milliseconds(900) } });
-  pass(40);
+  receivePeerHeartbeat({ { JobId("a"), std::chrono::milliseconds(900) } });
+  advance(40);
   EXPECT_TRUE(sentOf<PeerSubmit>().empty());
   EXPECT_FALSE(sentOf<PeerRecall>().empty());
 }
 
-/// Guards against a keep that comes a second late in a group whose daemons
-/// acknowledge at intervals.
-TEST_F(EntryCoreTest, AHeartbeatThatAsksForItIsAcknowledgedAtOnce)
+/// Guards against a keep message that is sent a second late, because daemons
+/// acknowledge heartbeats only at intervals.
+TEST_F(EntryCoreTest,
+       AHeartbeatThatRequestsAnAcknowledgementIsAcknowledgedAtOnce)
 {
   connect();
   PeerBeat beat;
@@ -299,9 +310,10 @@
   EXPECT_EQ(sentOf<PeerBeatAck>()[0].newest, beat.sentAt);
 }
 
-/// Guards against a job whose time on its way is unknown and that is given all
-/// of what it had when it was sent.
-TEST_F(EntryCoreTest, AnExclusiveJobOfUnknownAgeIsGivenBack)
+/// Guards against a holder that grants a job its whole exclusive time again.
+/// Without an acknowledgement in the submission the holder can't tell how long
+/// the submission was on its way.
+TEST_F(EntryCoreTest, AnExclusiveJobOfUnknownAgeIsRejected)
 {
   connect();
   JobRequest request;
@@ -315,115 +327,120 @@
   EXPECT_EQ(ends[0].end.outcome, JobOutcome::NotHolder);
 }
 
-/// Guards against a job kept for a caller before all that can be reached have
-/// read of it.
-TEST_F(EntryCoreTest, AHolderIsToldToKeepAJobOnceThePeerHasReadOfIt)
+/// Guards against a keep that is sent before all reachable daemons have read a
+/// heartbeat that lists the job.
+TEST_F(EntryCoreTest, AHolderIsToldToKeepAJobOnceThePeerHasAcknowledgedIt)
 {
   connect();
   listWorker();
-  receiveBeat();
+  receivePeerHeartbeat();
   submit("a");
   const TimePoint submittedAt = now;
-  pass(600);
-  EXPECT_TRUE(sentOf<PeerKeep>().empty()) << "nothing acknowledged";
+  advance(600);
+  EXPECT_TRUE(sentOf<PeerKeep>().empty()) << "no heartbeat was acknowledged";
   const auto stamp = PeerContact::stamp(submittedAt) + 449999;
   core.received(peer, PeerBeatAck{ stamp, stamp });
-  pass(20);
-  EXPECT_TRUE(sentOf<PeerKeep>().empty()) << "it wasn't listed yet";
+  advance(20);
+  EXPECT_TRUE(sentOf<PeerKeep>().empty())
+    << "the acknowledged heartbeat didn't list the job yet";
   core.received(peer, PeerBeatAck{ stamp + 1, stamp + 1 });
-  pass(20);
+  advance(20);
   EXPECT_EQ(sentOf<PeerKeep>().size(), 1u);
 }
 
-/// Guards against a peer that starts again and knows nothing of the jobs of its
-/// earlier life, whose runs go on until their leases end.
-TEST_F(EntryCoreTest, APeerThatStartedAgainLeavesItsRunsToEnd)
+/// Guards against a duplicate run after a peer's restart. The new process
+/// doesn't list the jobs of the process before, whose orphaned runs go on until
+/// their leases expire.
+TEST_F(EntryCoreTest, AJobOfARestartedPeerWaitsForItsOrphanedRuns)
 {
   connect("1");
   listWorker();
-  receiveBeat({ { JobId("a"), std::chrono::milliseconds(900) } });
+  receivePeerHeartbeat({ { JobId("a"), std::chrono::milliseconds(900) } });
   core.peerDown(peer, PeerLoss::Closed);
-  pass(300);
+  advance(300);
   connect("2");
-  receiveBeat();
+  receivePeerHeartbeat();
   submit("a");
-  pass(100);
+  advance(100);
   EXPECT_TRUE(sentOf<PeerSubmit>().empty());
 }
 
-/// Guards against a recall that is lost with a connection that another one
-/// replaces, after which the job waits for as long as its caller does.
+/// Guards against a job that waits until its caller's deadline, because the
+/// recall was lost with a connection that another one has replaced.
 TEST_F(EntryCoreTest, ARecallOverAReplacedConnectionIsSentAgain)
 {
   connect();
   listWorker();
-  receiveBeat({ { JobId("a"), std::chrono::milliseconds(900) } });
+  receivePeerHeartbeat({ { JobId("a"), std::chrono::milliseconds(900) } });
   submit("a");
   ASSERT_EQ(sentOf<PeerRecall>().size(), 1u);
   connect();
-  receiveBeat({ { JobId("a"), std::chrono::milliseconds(1000) } });
-  pass(200);
+  receivePeerHeartbeat({ { JobId("a"), std::chrono::milliseconds(1000) } });
+  advance(200);
   EXPECT_GE(sentOf<PeerRecall>().size(), 2u);
 }
 
-/// Guards against a daemon that wakes and goes on with a job that has come to
-/// another one meanwhile.
-TEST_F(EntryCoreTest, AKeptJobEndsWhenADaemonWakesTooLate)
+/// Guards against a daemon that continues a job after a suspension although the
+/// job has been submitted at another daemon meanwhile.
+TEST_F(EntryCoreTest, AKeptJobEndsWhenADaemonResumesTooLate)
 {
-  keepJob("a");
+  submitKeptJob("a");
   now += std::chrono::seconds(2);
   core.tick();
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
 }
 
-/// The same where it first hears that its connections are lost: what is left to
-/// one that may be cut off counts from now and not from before it stood still.
-TEST_F(EntryCoreTest, AKeptJobEndsWhenADaemonWakesTooLateAndHearsOfLossesFirst)
+/// As above, where the daemon detects the loss of its connections before it
+/// detects the suspension. The time left to a job on a daemon that may be
+/// partitioned then counts from now and not from before the suspension.
+TEST_F(EntryCoreTest,
+       AKeptJobEndsWhenADaemonResumesTooLateAndDetectsLossesFirst)
 {
-  keepJob("a");
+  submitKeptJob("a");
   now += std::chrono::seconds(2);
-  lose(PeerLoss::Silent);
+  disconnect(PeerLoss::Silent);
   core.tick();
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
 }
 
-/// Guards against a job in the smaller part of a cut group that goes on while
-/// its caller is at the larger one.
-TEST_F(EntryCoreTest, AKeptJobEndsWhereTheOthersCannotBeReached)
+/// Guards against a job that goes on in the smaller part of a partitioned group
+/// while its caller submits it again in the larger part.
+TEST_F(EntryCoreTest, AKeptJobEndsWhenNoOtherDaemonIsReachable)
 {
-  keepJob("a");
-  pass(400);
-  lose(PeerLoss::Silent);
-  pass(400);
+  submitKeptJob("a");
+  advance(400);
+  disconnect(PeerLoss::Silent);
+  advance(400);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
 }
 
-/// Guards against a job begun while the second of two daemons that list it has
-/// it at work: the first may have given it up long before.
-TEST_F(EntryCoreTest, AJobThatTwoPeersListIsPlacedWhenBothHaveAnswered)
+/// Guards against a job that is started while the second of two daemons that
+/// list it still has it in progress. The first of them may have abandoned the
+/// job long before.
+TEST_F(EntryCoreTest, AJobThatTwoPeersListIsPlacedAfterBothHaveAnswered)
 {
   const VmId other("other");
   const JobId job("a");
   connect();
   listWorker();
-  up.insert(other);
-  receiveBeat({ { job, std::chrono::milliseconds(1300) } });
-  receiveList(other, { { job, Duration::zero() } });
+  connected.insert(other);
+  receivePeerHeartbeat({ { job, std::chrono::milliseconds(1300) } });
+  receiveHeartbeat(other, { { job, Duration::zero() } });
   submit("a");
-  ASSERT_FALSE(asked.empty());
-  const VmId firstAsked = asked.front();
-  const VmId secondAsked = firstAsked == peer ? other : peer;
-  core.received(firstAsked, PeerRecalled{ job, Duration::zero() });
-  receiveList(firstAsked, {});
-  pass(40);
+  ASSERT_FALSE(recalledFrom.empty());
+  const VmId firstRecalled = recalledFrom.front();
+  const VmId secondRecalled = firstRecalled == peer ? other : peer;
+  core.received(firstRecalled, PeerRecalled{ job, Duration::zero() });
+  receiveHeartbeat(firstRecalled, {});
+  advance(40);
   EXPECT_TRUE(sentOf<PeerSubmit>().empty());
-  EXPECT_EQ(asked.back().value(), secondAsked.value());
-  core.received(secondAsked, PeerRecalled{ job, Duration::zero() });
-  receiveList(secondAsked, {});
-  pass(40);
+  EXPECT_EQ(recalledFrom.back().value(), secondRecalled.value());
+  core.received(secondRecalled, PeerRecalled{ job, Duration::zero() });
+  receiveHeartbeat(secondRecalled, {});
+  advance(40);
   EXPECT_EQ(sentOf<PeerSubmit>().size(), 1u);
 }
 
--- a/tests/entry/entrydaemon_test.cpp
+++ b/tests/entry/entrydaemon_test.cpp
@@ -27,7 +27,7 @@
 }
 
 WorkerList
-oneWorker()
+singleWorkerList()
 {
   WorkerRecord::Fields fields;
   fields.id = WorkerId("w1");
@@ -36,7 +36,7 @@
   return { { fields.id, WorkerRecord(fields) } };
 }
 
-/// Daemons over real connections on loopback, all on one thread.
+/// Daemons with real connections on loopback, all on one thread.
 class EntryDaemons : public ::testing::Test
 {
 protected:
@@ -53,22 +53,22 @@
     return *m_daemons.back();
   }
 
-  /// Runs until the condition holds; fails after a time that only a hung test
-  /// reaches.
+  /// Runs the event loop until the condition holds; fails after 20 s, which
+  /// only a hung test takes.
   template<class Condition>
   void await(Condition condition)
   {
-    const TimePoint limit = steadyNow() + std::chrono::seconds(20);
+    const TimePoint deadline = steadyNow() + std::chrono::seconds(20);
     while (!condition()) {
-      ASSERT_LT(steadyNow(), limit);
+      ASSERT_LT(steadyNow(), deadline);
       m_context.run_one_for(std::chrono::milliseconds(20));
     }
   }
 
   Address at(const std::string& host) const { return { host, m_port }; }
 
-  /// Every address of 127.0.0.0/8 is this machine's; a free port at one of them
-  /// is very likely free at the others.
+  /// Every address of 127.0.0.0/8 belongs to this machine; a port that is free
+  /// at one of them is very likely free at the others.
   static std::uint16_t freePort()
   {
     boost::asio::io_context context;
@@ -82,14 +82,14 @@
   std::vector<std::unique_ptr<EntryDaemon>> m_daemons;
 };
 
-TEST_F(EntryDaemons, FindEachOtherAndAgreeOnAHolder)
+TEST_F(EntryDaemons, DiscoverEachOtherAndAgreeOnAHolder)
 {
   EntryDaemon& first = add("127.0.0.1", { at("127.0.0.2") });
   EntryDaemon& second = add("127.0.0.2", {});
   EntryDaemon& third = add("127.0.0.3", { at("127.0.0.2") });
   for (EntryDaemon* daemon : { &first, &second, &third }) {
     daemon->core().configurationRead("1");
-    daemon->core().workersRead(oneWorker());
+    daemon->core().workersRead(singleWorkerList());
   }
   const auto held = [&] {
     return first.core().heldShards().size() +
@@ -102,7 +102,7 @@
   });
 }
 
-TEST_F(EntryDaemons, APeerThatIsBehindIsHandedTheConfiguration)
+TEST_F(EntryDaemons, APeerWithAnOlderConfigurationReceivesTheNewerOne)
 {
   EntryDaemon& first = add("127.0.0.1", { at("127.0.0.2") });
   EntryDaemon& second = add("127.0.0.2", {});
--- a/tests/entry/holderchoice_test.cpp
+++ b/tests/entry/holderchoice_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 HolderChoice
-shardWith(unsigned index, unsigned places)
+shardWithPlaces(unsigned index, unsigned places)
 {
   HolderChoice choice;
   choice.holder = VmId("vm-" + std::to_string(index));
@@ -17,25 +17,28 @@
   return choice;
 }
 
-TEST(HolderChooser, PrefersShardsOfItsZoneHoweverFullTheyAre)
+TEST(HolderChooser, PrefersShardsOfItsOwnZoneEvenIfFull)
 {
   HolderChooser chooser;
   EXPECT_FALSE(chooser.choose({}, {}));
-  const auto home = chooser.choose({ shardWith(0, 0) }, { shardWith(1, 9) });
-  EXPECT_EQ(home->shard, shardWith(0, 0).shard);
-  const auto abroad = chooser.choose({}, { shardWith(1, 9) });
-  EXPECT_EQ(abroad->shard, shardWith(1, 9).shard);
+  const auto sameZone =
+    chooser.choose({ shardWithPlaces(0, 0) }, { shardWithPlaces(1, 9) });
+  EXPECT_EQ(sameZone->shard, shardWithPlaces(0, 0).shard);
+  const auto otherZone = chooser.choose({}, { shardWithPlaces(1, 9) });
+  EXPECT_EQ(otherZone->shard, shardWithPlaces(1, 9).shard);
 }
 
-/// Three shards with room for 30, 10 and 0: the first gets the most, but what
-/// was told may be old, so that the second gets its part as well.
-TEST(HolderChooser, SharesByRoomWithoutSendingEverythingToOne)
+/// Three shards advertise 30, 10 and 0 free places. The first shard gets most
+/// jobs, but the figures may be outdated, so that the second one gets its share
+/// as well.
+TEST(HolderChooser, DistributesByFreePlacesWithoutSendingAllToOne)
 {
   HolderChooser chooser;
   std::map<unsigned, int> chosen;
   for (int job = 0; job < 90; ++job) {
     const auto choice = chooser.choose(
-      { shardWith(0, 30), shardWith(1, 10), shardWith(2, 0) }, {});
+      { shardWithPlaces(0, 30), shardWithPlaces(1, 10), shardWithPlaces(2, 0) },
+      {});
     ++chosen[choice->shard.index()];
   }
   EXPECT_GT(chosen[0], chosen[1]);
@@ -43,15 +46,16 @@
   EXPECT_LT(chosen[0], 75);
 }
 
-TEST(HolderChooser, AJobThatWasRefusedGoesWhereMostRoomIs)
+TEST(HolderChooser, ARefusedJobGoesToTheShardWithMostFreePlaces)
 {
   EXPECT_FALSE(HolderChooser::roomiest({}, {}));
-  const auto abroad = HolderChooser::roomiest(
-    { shardWith(0, 1), shardWith(1, 2) }, { shardWith(2, 5), shardWith(3, 3) });
-  EXPECT_EQ(abroad->places, 5u);
-  const auto home =
-    HolderChooser::roomiest({ shardWith(0, 4) }, { shardWith(1, 4) });
-  EXPECT_EQ(home->shard.index(), 0u);
+  const auto otherZone =
+    HolderChooser::roomiest({ shardWithPlaces(0, 1), shardWithPlaces(1, 2) },
+                            { shardWithPlaces(2, 5), shardWithPlaces(3, 3) });
+  EXPECT_EQ(otherZone->places, 5u);
+  const auto sameZone = HolderChooser::roomiest({ shardWithPlaces(0, 4) },
+                                                { shardWithPlaces(1, 4) });
+  EXPECT_EQ(sameZone->shard.index(), 0u);
 }
 
 } // namespace
--- a/tests/entry/knownjobs_test.cpp
+++ b/tests/entry/knownjobs_test.cpp
@@ -18,110 +18,122 @@
 class KnownJobsTest : public ::testing::Test
 {
 protected:
-  void tell(const VmId& vm, const std::vector<LongJob>& jobs)
+  void receiveList(const VmId& vm, const std::vector<LongJob>& jobs)
   {
-    known.told(vm, jobs, now);
+    knownJobs.told(vm, jobs, now);
   }
 
   TimePoint now{ std::chrono::seconds(100) };
   const Duration interval = HeartbeatPlan::Settings().interval;
-  KnownJobs known;
+  KnownJobs knownJobs;
 };
 
-/// Guards against a job begun here while it is at work for another daemon.
-TEST_F(KnownJobsTest, AListedJobIsToBeRecalledFromTheDaemonThatToldOfIt)
+/// Guards against a job that is started here while another daemon has it in
+/// progress.
+TEST_F(KnownJobsTest, AListedJobIsRecalledFromTheDaemonThatListsIt)
 {
-  tell(first, { { JobId("b"), milliseconds(600) } });
-  tell(second, { { job, milliseconds(500) }, { JobId("c"), {} } });
-  EXPECT_EQ(known.find(job, now), (KnownJobs::Place{ second, TimePoint() }));
+  receiveList(first, { { JobId("b"), milliseconds(600) } });
+  receiveList(second, { { job, milliseconds(500) }, { JobId("c"), {} } });
+  EXPECT_EQ(knownJobs.find(job, now),
+            (KnownJobs::Place{ second, TimePoint() }));
 }
 
-/// Guards against every job's being held up by those of others.
-TEST_F(KnownJobsTest, AJobThatNobodyToldOfIsUnknown)
+/// Guards against jobs that are held up by unrelated jobs of other daemons.
+TEST_F(KnownJobsTest, AJobThatNoDaemonListsIsUnknown)
 {
-  tell(first, { { JobId("b"), milliseconds(600) } });
-  EXPECT_FALSE(known.find(job, now));
+  receiveList(first, { { JobId("b"), milliseconds(600) } });
+  EXPECT_FALSE(knownJobs.find(job, now));
 }
 
-/// Guards against a recall of what has ended, at the cost of a way there and
-/// back.
-TEST_F(KnownJobsTest, AJobThatIsNoLongerListedIsOver)
+/// Guards against a recall of an ended job, which costs a round trip.
+TEST_F(KnownJobsTest, AJobThatIsNoLongerListedHasEnded)
 {
-  tell(first, { { job, milliseconds(500) } });
-  tell(first, {});
-  EXPECT_FALSE(known.find(job, now));
+  receiveList(first, { { job, milliseconds(500) } });
+  receiveList(first, {});
+  EXPECT_FALSE(knownJobs.find(job, now));
 }
 
-/// Guards against a job given up that is forgotten while its runs stop.
-TEST_F(KnownJobsTest, AJobThatWasGivenUpIsRecalledLikeOthers)
+/// Guards against an abandoned job that is forgotten while its runs are still
+/// being stopped. An abandoned job is listed with an age of zero.
+TEST_F(KnownJobsTest, AnAbandonedJobIsRecalledLikeOthers)
 {
-  tell(first, { { job, Duration::zero() } });
-  EXPECT_EQ(known.find(job, now), (KnownJobs::Place{ first, TimePoint() }));
+  receiveList(first, { { job, Duration::zero() } });
+  EXPECT_EQ(knownJobs.find(job, now), (KnownJobs::Place{ first, TimePoint() }));
 }
 
-/// Guards against a second run beside that of a daemon that has just ended: its
-/// holders' runs go on for as long as they do without their submitter.
-TEST_F(KnownJobsTest, AJobOfALostDaemonIsHeldUntilItsRunsAreOver)
+/// Guards against a second run that starts beside orphaned runs. When a daemon
+/// is lost, holders let the runs of its jobs go on for a while without their
+/// submitter.
+TEST_F(KnownJobsTest, AJobOfALostDaemonIsHeldUntilItsOrphanedRunsHaveEnded)
 {
-  tell(first, { { job, milliseconds(500) } });
+  receiveList(first, { { job, milliseconds(500) } });
   now += milliseconds(50);
-  known.lost(first, now);
+  knownJobs.lost(first, now);
   const TimePoint overAt = now + lostRunLimit;
-  EXPECT_EQ(known.find(job, now), (KnownJobs::Place{ std::nullopt, overAt }));
+  EXPECT_EQ(knownJobs.find(job, now),
+            (KnownJobs::Place{ std::nullopt, overAt }));
   now = overAt - milliseconds(1);
-  EXPECT_TRUE(known.find(job, now));
+  EXPECT_TRUE(knownJobs.find(job, now));
   now = overAt;
-  EXPECT_FALSE(known.find(job, now));
+  EXPECT_FALSE(knownJobs.find(job, now));
 }
 
-/// Guards against a wait that counts from when a silence was noticed, by which
-/// a caller's time may be over.
-TEST_F(KnownJobsTest, ADaemonThatFellSilentWasThereUntilItsNextHeartbeatWasDue)
+/// Guards against a hold that counts from when the silence was detected: the
+/// caller's deadline may pass by then. A silent daemon was alive until its next
+/// heartbeat was due at the latest, and its orphaned runs end a fixed time
+/// after that.
+TEST_F(KnownJobsTest, ASilentDaemonCountsAsAliveUntilItsNextHeartbeatWasDue)
 {
-  tell(first, { { job, milliseconds(500) } });
+  receiveList(first, { { job, milliseconds(500) } });
   const TimePoint overAt = now + interval + lostRunLimit;
   now += milliseconds(450);
-  known.lost(first, now);
-  EXPECT_EQ(known.find(job, now), (KnownJobs::Place{ std::nullopt, overAt }));
+  knownJobs.lost(first, now);
+  EXPECT_EQ(knownJobs.find(job, now),
+            (KnownJobs::Place{ std::nullopt, overAt }));
 }
 
-/// Guards against a job that is placed at once since one of two daemons that
-/// had it is lost and its runs are over.
-TEST_F(KnownJobsTest, OfTwoDaemonsTheOneThatCanBeAskedComesFirst)
+/// Guards against a job that is placed at once. One of two daemons that listed
+/// it is lost and its orphaned runs have ended, but the other daemon still has
+/// the job in progress.
+TEST_F(KnownJobsTest, AReachableDaemonTakesPrecedenceOverALostOne)
 {
-  tell(first, { { job, milliseconds(500) } });
-  tell(second, { { job, milliseconds(500) } });
-  known.lost(first, now);
-  EXPECT_EQ(known.find(job, now), (KnownJobs::Place{ second, TimePoint() }));
+  receiveList(first, { { job, milliseconds(500) } });
+  receiveList(second, { { job, milliseconds(500) } });
+  knownJobs.lost(first, now);
+  EXPECT_EQ(knownJobs.find(job, now),
+            (KnownJobs::Place{ second, TimePoint() }));
 }
 
-/// Guards against a hold that ends with the first of two lost daemons' runs.
-TEST_F(KnownJobsTest, OfTwoLostDaemonsTheLaterOneCounts)
+/// Guards against a hold that ends too early, with the orphaned runs of only
+/// the first of two lost daemons.
+TEST_F(KnownJobsTest, OfTwoLostDaemonsTheOneLostLaterCounts)
 {
-  tell(first, { { job, milliseconds(500) } });
-  tell(second, { { job, milliseconds(500) } });
-  known.lost(second, now + milliseconds(100));
-  known.lost(first, now);
+  receiveList(first, { { job, milliseconds(500) } });
+  receiveList(second, { { job, milliseconds(500) } });
+  knownJobs.lost(second, now + milliseconds(100));
+  knownJobs.lost(first, now);
   EXPECT_EQ(
-    known.find(job, now),
+    knownJobs.find(job, now),
     (KnownJobs::Place{ std::nullopt, now + milliseconds(100) + lostRunLimit }));
 }
 
-/// Guards against a daemon that is back whose old list still holds jobs up.
-TEST_F(KnownJobsTest, ADaemonThatIsBackCountsByItsNewList)
+/// Guards against a reconnected daemon whose list from before the loss still
+/// holds up jobs.
+TEST_F(KnownJobsTest, TheNewListOfAReconnectedDaemonReplacesItsOldList)
 {
-  tell(first, { { job, milliseconds(500) } });
-  known.lost(first, now);
+  receiveList(first, { { job, milliseconds(500) } });
+  knownJobs.lost(first, now);
   now += milliseconds(100);
-  tell(first, { { job, milliseconds(600) } });
-  EXPECT_EQ(known.find(job, now), (KnownJobs::Place{ first, TimePoint() }));
+  receiveList(first, { { job, milliseconds(600) } });
+  EXPECT_EQ(knownJobs.find(job, now), (KnownJobs::Place{ first, TimePoint() }));
 }
 
-/// Guards against a loss of a daemon that never told of any job.
-TEST_F(KnownJobsTest, ADaemonThatToldOfNothingLeavesNothing)
+/// Guards against a lost daemon that never listed any job and yet holds up
+/// jobs.
+TEST_F(KnownJobsTest, ALostDaemonThatListedNoJobHoldsUpNoJob)
 {
-  known.lost(first, now);
-  EXPECT_FALSE(known.find(job, now));
+  knownJobs.lost(first, now);
+  EXPECT_FALSE(knownJobs.find(job, now));
 }
 
 } // namespace
--- a/tests/entry/memberlosses_test.cpp
+++ b/tests/entry/memberlosses_test.cpp
@@ -20,35 +20,38 @@
   MemberLosses losses;
 };
 
-/// Guards against a daemon alone from the start that ends all its long jobs.
-TEST_F(MemberLossesTest, WithoutALossNobodyIsCutOff)
+/// Guards against a daemon that runs alone from the start and takes itself for
+/// partitioned, which ends all its long jobs.
+TEST_F(MemberLossesTest, WithoutALossADaemonIsNotCutOff)
 {
   EXPECT_FALSE(losses.isCutOff(1, now));
 }
 
-/// Guards against a smaller part whose jobs run on while their callers submit
-/// them in the larger one.
+/// Guards against jobs that run on in the smaller part of a partitioned group
+/// while their callers submit them again in the larger part.
 TEST_F(MemberLossesTest, TheSmallerPartIsCutOff)
 {
   lose(3);
   EXPECT_TRUE(losses.isCutOff(2, now));
 }
 
-/// Guards against halves that each take the other for lost.
+/// Guards against two equal parts of a partitioned group that each take the
+/// other part for lost and go on.
 TEST_F(MemberLossesTest, EachOfTwoEqualPartsIsCutOff)
 {
   lose(2);
   EXPECT_TRUE(losses.isCutOff(2, now));
 }
 
-/// Guards against jobs that end wherever one daemon of many is lost.
+/// Guards against jobs that are ended on all daemons when a few of many are
+/// lost.
 TEST_F(MemberLossesTest, TheLargerPartIsNotCutOff)
 {
   lose(2);
   EXPECT_FALSE(losses.isCutOff(3, now));
 }
 
-/// Guards against a group that counts a daemon's losses rather than daemons.
+/// Guards against a count of losses instead of lost daemons.
 TEST_F(MemberLossesTest, ADaemonThatIsLostTwiceCountsOnce)
 {
   lose(1);
@@ -56,16 +59,18 @@
   EXPECT_FALSE(losses.isCutOff(2, now));
 }
 
-/// Guards against a group that is whole again and goes on as if it weren't.
-TEST_F(MemberLossesTest, WhoIsBackNoLongerCounts)
+/// Guards against a group that is complete again but still counts as
+/// partitioned.
+TEST_F(MemberLossesTest, AReconnectedDaemonIsNoLongerCounted)
 {
   lose(2);
   losses.back(VmId("vm-0"));
   EXPECT_FALSE(losses.isCutOff(2, now));
 }
 
-/// Guards against a group that has shrunk for good and never keeps a long job.
-TEST_F(MemberLossesTest, WhoStaysAwayIsTakenToHaveEnded)
+/// Guards against a group that has become smaller for good and in which no long
+/// job is ever kept.
+TEST_F(MemberLossesTest, ADaemonLostForThirtySecondsIsNoLongerCounted)
 {
   lose(3);
   now += seconds(30) - Duration(1);
--- a/tests/entry/peercontact_test.cpp
+++ b/tests/entry/peercontact_test.cpp
@@ -27,8 +27,7 @@
   PeerContact contact{ now };
 };
 
-TEST_F(PeerContactTest,
-       CountsFromWhenTheHeartbeatWasSentNotFromWhenItsAnswerIsRead)
+TEST_F(PeerContactTest, LastContactIsWhenTheAcknowledgedHeartbeatWasSent)
 {
   const TimePoint sent = now;
   now += milliseconds(900);
@@ -36,7 +35,7 @@
   EXPECT_EQ(contact.lastContact(peer), sent);
 }
 
-TEST_F(PeerContactTest, AnOlderAcknowledgementThatComesLaterChangesNothing)
+TEST_F(PeerContactTest, AnOlderAcknowledgementThatArrivesLaterIsIgnored)
 {
   const TimePoint older = now;
   now += milliseconds(100);
@@ -55,10 +54,11 @@
   contact.beatReceived(peer, 8, now);
   EXPECT_EQ(contact.takeDue(peer, now), (PeerBeatAck{ 7, 8 }));
   EXPECT_EQ(contact.acknowledgement(peer), (PeerBeatAck{ 7, 8 }));
-  EXPECT_FALSE(contact.takeDue(peer, now)) << "once each";
+  EXPECT_FALSE(contact.takeDue(peer, now))
+    << "each heartbeat is acknowledged once";
 }
 
-TEST_F(PeerContactTest, ADaemonIsToldOfWhatItsNewestHeartbeatSays)
+TEST_F(PeerContactTest, APeerKnowsWhatTheNewestAcknowledgedHeartbeatSays)
 {
   const TimePoint settled = now;
   now += milliseconds(30);
@@ -68,7 +68,7 @@
   EXPECT_EQ(contact.toldUntil(peer), now);
 }
 
-TEST_F(PeerContactTest, ManyHeartbeatsAreAcknowledgedAtIntervals)
+TEST_F(PeerContactTest, FrequentHeartbeatsAreAcknowledgedAtIntervals)
 {
   unsigned acknowledged = 0;
   for (int i = 1; i <= 50; ++i) {
@@ -76,11 +76,11 @@
     tick();
     acknowledged += contact.takeDue(peer, now) ? 1 : 0;
   }
-  EXPECT_LE(acknowledged, 9u) << "in a second";
+  EXPECT_LE(acknowledged, 9u) << "acknowledgements in a second";
   EXPECT_GE(acknowledged, 7u);
 }
 
-TEST_F(PeerContactTest, WhatWasToldOverALostConnectionNoLongerCounts)
+TEST_F(PeerContactTest, ALostConnectionResetsTheContact)
 {
   contact.acknowledged(peer, ack(now), now);
   contact.beatReceived(peer, 7, now);
@@ -91,16 +91,16 @@
   EXPECT_FALSE(contact.takeDue(peer, now));
 }
 
-TEST_F(PeerContactTest, ATimeOfAnEarlierLifeOfTheMachineDoesNotCount)
+TEST_F(PeerContactTest, ATimestampFromBeforeARebootIsIgnored)
 {
   const TimePoint later = now + std::chrono::hours(1);
   contact.acknowledged(peer, ack(later), now);
   EXPECT_EQ(contact.lastContact(peer), TimePoint{});
 }
 
-/// Guards against a request that waited on its way and whose time is counted
-/// from when it was read.
-TEST_F(PeerContactTest, AMessageWasSentNoEarlierThanWhatItAcknowledges)
+/// Guards against a request that gets too much time. It was delayed on its way,
+/// and its time is counted from when it is read.
+TEST_F(PeerContactTest, TheSendTimeFollowsFromTheAcknowledgedHeartbeat)
 {
   const TimePoint beatAt = now;
   now += milliseconds(900);
@@ -108,23 +108,23 @@
             beatAt + milliseconds(200));
 }
 
-/// Guards against a time of sending that is made up where nothing tells it.
-TEST_F(PeerContactTest, WithoutAnAcknowledgementNobodyKnowsWhenItWasSent)
+/// Guards against an invented send time where no acknowledgement tells it.
+TEST_F(PeerContactTest, WithoutAnAcknowledgementTheSendTimeIsUnknown)
 {
   EXPECT_FALSE(PeerContact::sentAfter({}, Duration::zero(), now));
 }
 
-/// Guards against a job that is given all its time by a stamp of the machine's
-/// earlier life.
-TEST_F(PeerContactTest, AMessageSentInTheFutureTellsNothing)
+/// Guards against a job that gets all of its time again, because the message
+/// carries a timestamp from before a reboot of the machine.
+TEST_F(PeerContactTest, ASendTimeInTheFutureIsRejected)
 {
   EXPECT_FALSE(PeerContact::sentAfter(ack(now), milliseconds(11), now))
-    << "beyond what clocks differ by";
+    << "further in the future than clocks differ";
   EXPECT_EQ(PeerContact::sentAfter(ack(now), milliseconds(10), now), now);
 }
 
-/// Guards against an age that an older heartbeat that comes later makes short:
-/// the message would count as sent earlier or later than it was.
+/// Guards against an age that an older, delayed heartbeat resets. The message
+/// would count as sent earlier or later than it was.
 TEST_F(PeerContactTest, TheAgeOfAnAcknowledgementIsThatOfItsNewestHeartbeat)
 {
   EXPECT_EQ(contact.acknowledgementAge(peer, now), Duration::zero());
@@ -140,7 +140,7 @@
 }
 
 /// Guards against an age without the heartbeat that it belongs to.
-TEST_F(PeerContactTest, ALostConnectionLeavesNoAgeOfAnAcknowledgement)
+TEST_F(PeerContactTest, ALostConnectionResetsTheAgeOfTheAcknowledgement)
 {
   contact.beatReceived(peer, 8, now);
   contact.lost(peer);
@@ -148,13 +148,14 @@
   EXPECT_EQ(contact.acknowledgementAge(peer, now), Duration::zero());
 }
 
-TEST_F(PeerContactTest, ADaemonKnowsOfItsOwnCallersAsOfTheTickBeforeTheLast)
+TEST_F(PeerContactTest, OwnContactIsTheTickBeforeTheLast)
 {
   tick();
   const TimePoint previous = now;
   now += milliseconds(600);
   contact.tick(now);
-  EXPECT_EQ(contact.ownContact(), previous) << "it is behind";
+  EXPECT_EQ(contact.ownContact(), previous)
+    << "the daemon handles its input late";
 }
 
 } // namespace
--- a/tests/entry/strainmeter_test.cpp
+++ b/tests/entry/strainmeter_test.cpp
@@ -7,8 +7,8 @@
 
 using std::chrono::milliseconds;
 
-/// Ticks for a while, each so much later than it should be. The number of times
-/// that the meter changed its mind.
+/// Ticks several times, each time late by `late`. Returns how often the meter
+/// changed its state.
 int
 tick(StrainMeter& meter, TimePoint& now, int ticks, milliseconds late)
 {
@@ -20,7 +20,7 @@
   return changes;
 }
 
-TEST(StrainMeter, OneLateTickIsNoStrain)
+TEST(StrainMeter, ASingleLateTickIsNotStrain)
 {
   StrainMeter meter{ StrainMeter::Settings() };
   TimePoint now{};
@@ -29,13 +29,14 @@
   EXPECT_FALSE(meter.isStrained());
 }
 
-TEST(StrainMeter, LateTicksOverAWhileAreAndEndOnlyWhenTheyAreCalm)
+TEST(StrainMeter, RepeatedLateTicksAreStrainUntilTheLatenessIsLow)
 {
   StrainMeter meter{ StrainMeter::Settings() };
   TimePoint now{};
   EXPECT_EQ(tick(meter, now, 60, milliseconds(100)), 1);
   EXPECT_TRUE(meter.isStrained());
-  EXPECT_EQ(tick(meter, now, 100, milliseconds(30)), 0) << "neither";
+  EXPECT_EQ(tick(meter, now, 100, milliseconds(30)), 0)
+    << "30 ms are neither strained nor calm";
   EXPECT_TRUE(meter.isStrained());
   EXPECT_EQ(tick(meter, now, 100, milliseconds(1)), 1);
   EXPECT_FALSE(meter.isStrained());
--- a/tests/entry/tokensource_test.cpp
+++ b/tests/entry/tokensource_test.cpp
@@ -16,7 +16,7 @@
   std::int64_t timeOfDay = 1800000000000;
 };
 
-TEST_F(TokenSourceTest, EachIsHigherThanTheLastAndThanWhatWasSeen)
+TEST_F(TokenSourceTest, EachTokenIsHigherThanTheLastOneAndThanAnySeen)
 {
   TokenSource tokens = source();
   const FencingToken first = tokens.next();
@@ -26,40 +26,42 @@
   EXPECT_GT(tokens.next(), second + 1000000);
 }
 
-TEST_F(TokenSourceTest, TwoProcessesMakeDifferentOnesAtTheSameTime)
+TEST_F(TokenSourceTest, TwoProcessesMakeDifferentTokensAtTheSameTime)
 {
   EXPECT_NE(source(7).next(), source(8).next());
 }
 
-TEST_F(TokenSourceTest, ALaterProcessIsAheadOfAnEarlierOneThatItHasNotHeardOf)
+TEST_F(TokenSourceTest, ALaterProcessMakesAHigherTokenThanAnUnknownEarlierOne)
 {
   const FencingToken earlier = source().next();
   timeOfDay += 5;
   EXPECT_GT(source(1).next(), earlier);
 }
 
-TEST_F(TokenSourceTest, AfterARefusalItIsAheadOfAClockTwoSecondsAhead)
+TEST_F(TokenSourceTest,
+       AfterARefusalTheTokenExceedsThoseOfAClockTwoSecondsAhead)
 {
   TokenSource tokens = source();
   tokens.next();
   timeOfDay += 2000;
-  const FencingToken refusedFor = source(9).next();
+  const FencingToken higherToken = source(9).next();
   timeOfDay -= 2000;
-  EXPECT_GT(tokens.nextAfterRefusal(1), refusedFor);
+  EXPECT_GT(tokens.nextAfterRefusal(1), higherToken);
 }
 
-TEST_F(TokenSourceTest, AfterSevenRefusalsItIsAheadOfTokensThreeMinutesAhead)
+TEST_F(TokenSourceTest,
+       AfterSevenRefusalsTheTokenExceedsThoseOfAClockThreeMinutesAhead)
 {
   TokenSource tokens = source();
   timeOfDay += 180000;
-  const FencingToken refusedFor = source(9).next();
+  const FencingToken higherToken = source(9).next();
   timeOfDay -= 180000;
   for (unsigned refusals = 1; refusals < 7; ++refusals)
     tokens.nextAfterRefusal(refusals);
-  EXPECT_GT(tokens.nextAfterRefusal(7), refusedFor);
+  EXPECT_GT(tokens.nextAfterRefusal(7), higherToken);
 }
 
-TEST_F(TokenSourceTest, AClockThatIsSetBackLowersNothing)
+TEST_F(TokenSourceTest, AClockThatIsSetBackDoesNotLowerTokens)
 {
   TokenSource tokens = source();
   const FencingToken first = tokens.next();
--- a/tests/entry/vacancyprobe_test.cpp
+++ b/tests/entry/vacancyprobe_test.cpp
@@ -10,14 +10,14 @@
 const ShardId shard(ZoneName("z2"), 0);
 
 HoldAnswer
-idle()
+idleReport()
 {
   return HoldReport();
 }
 
-/// The worker lists an end that nobody has taken note of.
+/// The worker lists a run's end that no holder has acknowledged.
 HoldAnswer
-listing(std::uint64_t number)
+reportOfEnd(std::uint64_t number)
 {
   HoldReport report;
   report.ended.push_back({ number, RunKey("a.0.0.1", 1), RunEnd::Lapsed });
@@ -44,7 +44,8 @@
     }
   }
 
-  void play(const std::vector<HoldAnswer>& round)
+  /// Starts a round 150 ms after the last one and answers its orders.
+  void answerRound(const std::vector<HoldAnswer>& round)
   {
     now += milliseconds(150);
     answers.clear();
@@ -61,47 +62,47 @@
   std::vector<WorkerRecord> workers;
 };
 
-TEST_F(VacancyProbeTest, AnEndThatStaysListedHasNobodyWhoWaitsForIt)
+TEST_F(VacancyProbeTest, AnEndThatStaysListedShowsThatNoHolderUsesTheWorkers)
 {
   for (int round = 0; round < 4; ++round) {
     EXPECT_FALSE(probe.isVacant(shard));
-    play({ listing(5), idle(), OrderFailure::Unanswered });
+    answerRound({ reportOfEnd(5), idleReport(), OrderFailure::Unanswered });
   }
   EXPECT_TRUE(probe.isVacant(shard));
   EXPECT_EQ(orders[0].token, 7u);
   EXPECT_FALSE(orders[0].deadlineMs) << "it must not renew the lease";
-  EXPECT_EQ(orders[0].acknowledged, 0u) << "it must not take note of ends";
+  EXPECT_EQ(orders[0].acknowledged, 0u) << "it must not acknowledge ends";
   probe.keepOnly({});
   EXPECT_FALSE(probe.isVacant(shard));
 }
 
-TEST_F(VacancyProbeTest, WorkersThatAreIdleMayHaveAHolder)
+TEST_F(VacancyProbeTest, IdleWorkersMayHaveAHolder)
 {
   for (int round = 0; round < 9; ++round)
-    play({ idle(), idle(), idle() });
+    answerRound({ idleReport(), idleReport(), idleReport() });
   EXPECT_FALSE(probe.isVacant(shard));
 }
 
-TEST_F(VacancyProbeTest, EndsThatAreTakenNoteOfHaveAHolder)
+TEST_F(VacancyProbeTest, AcknowledgedEndsShowThatThereIsAHolder)
 {
   for (std::uint64_t round = 0; round < 9; ++round)
-    play({ listing(round), idle(), listing(round + 100) });
+    answerRound({ reportOfEnd(round), idleReport(), reportOfEnd(round + 100) });
   EXPECT_FALSE(probe.isVacant(shard));
 }
 
-TEST_F(VacancyProbeTest, AWorkerThatRefusesTheTokenHasBeenTaken)
+TEST_F(VacancyProbeTest, AWorkerThatRefusesTheTokenHasANewHolder)
 {
   for (int round = 0; round < 9; ++round)
-    play({ listing(5), OrderFailure::Fenced, idle() });
+    answerRound({ reportOfEnd(5), OrderFailure::Fenced, idleReport() });
   EXPECT_FALSE(probe.isVacant(shard));
 }
 
-TEST_F(VacancyProbeTest, WorkersThatCannotBeReachedShowNothing)
+TEST_F(VacancyProbeTest, UnreachableWorkersShowNothing)
 {
   for (int round = 0; round < 5; ++round)
-    play({ OrderFailure::Unanswered,
-           OrderFailure::NotSent,
-           OrderFailure::Unanswered });
+    answerRound({ OrderFailure::Unanswered,
+                  OrderFailure::NotSent,
+                  OrderFailure::Unanswered });
   EXPECT_FALSE(probe.isVacant(shard));
 }
 
