--- a/tests/entry/faultinjection_test.cpp
+++ b/tests/entry/faultinjection_test.cpp
@@ -24,6 +24,9 @@
 class DaemonGroupFaults : public ::testing::TestWithParam<Case>
 {};
 
+/// Guards against duplicate runs, exceeded capacities and starts of refused
+/// jobs while the faults of a scenario are injected, and against a group that
+/// completes less than a third of the submitted jobs after the faults.
 TEST_P(DaemonGroupFaults, PreservesInvariantsAndRecovers)
 {
   const FaultScenario scenario = faultScenarios()[std::get<0>(GetParam())];
--- a/tests/entry/faultscenario.cpp
+++ b/tests/entry/faultscenario.cpp
@@ -108,7 +108,7 @@
 }
 
 /// Number of scenarios at the beginning of `faultScenarios` from which
-/// `AnyFault` picks one at each injection.
+/// `injectBasicFault` picks one.
 constexpr std::size_t basicScenarios = 9;
 
 void
@@ -164,7 +164,8 @@
 }
 
 /// Reopens a zone, or evacuates it, or evacuates it, reopens it and evacuates
-/// it again within 800 ms. Several zones may be evacuated at a time.
+/// it again within 800 ms. Several zones may be evacuated at a time; the test
+/// reopens all of them at once only after the last injection.
 void
 evacuateOrReopenZone(Simulation& simulation)
 {
--- a/tests/entry/faultscenario.h
+++ b/tests/entry/faultscenario.h
@@ -21,8 +21,8 @@
 std::vector<FaultScenario>
 faultScenarios();
 
-/// Three zones, of which one may be evacuated: the workers of the other two
-/// have enough capacity for all jobs.
+/// The workers of two of the three zones have enough capacity for all jobs, so
+/// that a third of the workers can be evacuated at once.
 Simulation::Settings
 withRoomToEvacuate();
 
--- a/tests/entry/simulation.h
+++ b/tests/entry/simulation.h
@@ -45,7 +45,7 @@
     unsigned maxTaskMs = 1400;
     /// Whether there are jobs with tasks of 500 ms and more.
     bool hasLongTasks = true;
-    /// Whether tasks of one job in a hundred fail.
+    /// Whether one run in a hundred fails.
     bool hasFailures = true;
     /// Whether callers whose jobs ended with an unknown outcome submit them
     /// again, at any daemon.
@@ -101,6 +101,8 @@
                          Duration detectionDelay = Duration::zero());
   /// Every connection between daemons is reset.
   void resetConnections();
+  /// A worker and all its runs are lost; a worker with a new id takes its
+  /// place. Daemons read the new list at once.
   void crashWorker(std::size_t worker);
   /// The worker starts again under its id with no state from before. Daemons
   /// read the worker's new entry at different times.
@@ -139,7 +141,7 @@
   unsigned startedTasks() const { return m_startedTasks; }
   /// Tasks that were started on the workers of a zone.
   unsigned startedTasks(unsigned zone) const;
-  /// Heartbeats that a daemon has messagesSent.
+  /// Heartbeats that a daemon has sent.
   unsigned heartbeats(std::size_t daemon) const
   {
     return m_nodes[daemon].heartbeats;
@@ -185,6 +187,7 @@
     /// When the link has transferred all that is queued in each direction.
     TimePoint sendBusyUntil{};
     TimePoint receiveBusyUntil{};
+    /// Input that arrived while the daemon was suspended.
     std::vector<Action> deferred;
     Ramp processingDelay;
     /// When the input that arrived last is handled.
@@ -200,6 +203,7 @@
     FencingToken token = 0;
     unsigned heartbeats = 0;
   };
+  /// A hold order that a worker answers when a run ends or its wait is over.
   struct PendingHold
   {
     HoldOrder order;
@@ -229,8 +233,11 @@
     /// Set once the daemon has handled the submission.
     std::shared_ptr<Gateway::Ticket> ticket;
     bool isWaiting = false;
+    /// Whether no submission has ended otherwise than by refusal.
     bool wasAlwaysRefused = true;
+    /// Whether a task of the job has started.
     bool hasStarted = false;
+    /// Whether every submission was refused, so that no task may start.
     bool isRefused = false;
   };
 
@@ -270,8 +277,8 @@
   void closeHalfOpen(std::size_t a, std::size_t b);
   void stopNode(std::size_t node);
 
-  /// How long a message takes through a link that is busy until `busyUntil`,
-  /// which moves on.
+  /// Queues a message on a link that is busy until `busyUntil`. Returns how
+  /// long the message takes, and advances `busyUntil`.
   Duration transferTime(TimePoint& busyUntil, std::size_t bytes) const;
   Duration sendTime(std::size_t node, std::size_t bytes);
   Duration receiveTime(std::size_t node, std::size_t bytes);
--- a/tests/entry/simulation_test.cpp
+++ b/tests/entry/simulation_test.cpp
@@ -49,8 +49,8 @@
 
 /// Zones of many small machines. Each link carries what four busy workers need,
 /// and a single holder of a zone's 24 workers would fill its link. Orders and
-/// answers that queue in a full link count as lost and are sent again, so that
-/// only a fiftieth of a normal load was served.
+/// answers that queue in a full link count as lost and are sent again: only a
+/// fiftieth of a normal load was served, for as long as the load lasted.
 Simulation::Settings
 withSlowLinks()
 {
@@ -85,9 +85,9 @@
   EXPECT_EQ(held.size(), 16u) << "eight shards in each zone";
 }
 
-/// Guards against heartbeats at each change of the free places: twelve holders
-/// in a burst of jobs that fills all workers, whose free places change with
-/// each task, told all other daemons of each change.
+/// Guards against a heartbeat at each change of the free places. In a burst of
+/// jobs that fills all workers, the free places change with each task, and each
+/// of twelve holders sent a heartbeat to all other daemons at each change.
 TEST(DaemonGroup, LimitsHeartbeatsAboutFreePlaces)
 {
   Simulation::Settings settings;
--- a/tests/entry/simulationlinks.cpp
+++ b/tests/entry/simulationlinks.cpp
@@ -46,12 +46,13 @@
       if (m_now < m_nodes[daemon].partitionedUntil)
         closeEnd(end, number, PeerLoss::Silent);
     };
-    const ConnectionEnd far{ other, daemon };
-    const ConnectionEnd near{ daemon, other };
+    const ConnectionEnd peerEnd{ other, daemon };
+    const ConnectionEnd ownEnd{ daemon, other };
     const ConnectionNumber number = connection(daemon, other);
-    schedule(silenceLimit, [close, far, number] { close(far, number); });
+    schedule(silenceLimit,
+             [close, peerEnd, number] { close(peerEnd, number); });
     schedule(silenceLimit + detectionDelay,
-             [close, near, number] { close(near, number); });
+             [close, ownEnd, number] { close(ownEnd, number); });
   }
 }
 
@@ -289,8 +290,8 @@
            std::pair(m_nodes[a].incarnation, m_nodes[b].incarnation);
 }
 
-/// The peer answers what is sent over a connection that only one side knows
-/// with a reset.
+/// Closes a connection that only one side knows: the other side answers the
+/// first message over it with a reset.
 void
 Simulation::closeHalfOpen(std::size_t a, std::size_t b)
 {
