--- a/tests/entry/configurationdistribution_test.cpp
+++ b/tests/entry/configurationdistribution_test.cpp
@@ -36,11 +36,11 @@
 /// daemons push. Two of 41 daemons hadn't read a new configuration of 0.9 MB
 /// from the platform. Each of the other daemons sent them the whole of it,
 /// every second and after each new connection. On a link of 25 Mbit/s 40 copies
-/// take 11 s; heartbeats came late behind them, and the connections were closed
-/// after 450 ms with the transfers in progress. The two daemons kept serving
-/// callers by the old version while their links carried 1 to 4.5 MB every
-/// second; they logged `peer-down` some 28 times a second, in six of ten cases
-/// with `wasSilent`.
+/// take 11 s; heartbeats queued behind them, and the connections were closed
+/// after 450 ms with the transfers in progress. The two daemons served callers
+/// by the old version for the rest of the day while their links carried 1 to
+/// 4.5 MB every second; they logged `peer-down` some 28 times a second, in six
+/// of ten cases with `wasSilent`.
 TEST(ConfigurationDistribution,
      ReachesADaemonBehindASlowLinkWhenAllOthersHaveIt)
 {
--- a/tests/entry/entrydaemon_test.cpp
+++ b/tests/entry/entrydaemon_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 EntryCore::Ports
-noPorts()
+inactivePorts()
 {
   EntryCore::Ports ports;
   ports.hold = [](const auto&, const auto&, Duration, auto) {};
@@ -40,7 +40,7 @@
 class EntryDaemons : public ::testing::Test
 {
 protected:
-  EntryDaemon& add(const std::string& host, std::vector<Address> seeds)
+  EntryDaemon& addDaemon(const std::string& host, std::vector<Address> seeds)
   {
     EntryDaemon::Settings settings;
     settings.core.vm = VmId(host);
@@ -48,7 +48,7 @@
     settings.peerAddress = Address(host, m_port);
     settings.seeds = std::move(seeds);
     m_daemons.push_back(std::make_unique<EntryDaemon>(
-      m_context, settings, noPorts(), [](TimePoint) {}));
+      m_context, settings, inactivePorts(), [](TimePoint) {}));
     EXPECT_EQ(m_daemons.back()->start(), std::nullopt);
     return *m_daemons.back();
   }
@@ -56,7 +56,7 @@
   /// Runs the event loop until the condition holds; fails after 20 s, which
   /// only a hung test takes.
   template<class Condition>
-  void await(Condition condition)
+  void runUntil(Condition condition)
   {
     const TimePoint deadline = steadyNow() + std::chrono::seconds(20);
     while (!condition()) {
@@ -65,7 +65,7 @@
     }
   }
 
-  Address at(const std::string& host) const { return { host, m_port }; }
+  Address addressOf(const std::string& host) const { return { host, m_port }; }
 
   /// Every address of 127.0.0.0/8 belongs to this machine; a port that is free
   /// at one of them is very likely free at the others.
@@ -84,19 +84,19 @@
 
 TEST_F(EntryDaemons, DiscoverEachOtherAndAgreeOnAHolder)
 {
-  EntryDaemon& first = add("127.0.0.1", { at("127.0.0.2") });
-  EntryDaemon& second = add("127.0.0.2", {});
-  EntryDaemon& third = add("127.0.0.3", { at("127.0.0.2") });
+  EntryDaemon& first = addDaemon("127.0.0.1", { addressOf("127.0.0.2") });
+  EntryDaemon& second = addDaemon("127.0.0.2", {});
+  EntryDaemon& third = addDaemon("127.0.0.3", { addressOf("127.0.0.2") });
   for (EntryDaemon* daemon : { &first, &second, &third }) {
     daemon->core().configurationRead("1");
     daemon->core().workersRead(singleWorkerList());
   }
-  const auto held = [&] {
+  const auto heldShardCount = [&] {
     return first.core().heldShards().size() +
            second.core().heldShards().size() + third.core().heldShards().size();
   };
-  await([&] { return held() == 1; });
-  await([&] {
+  runUntil([&] { return heldShardCount() == 1; });
+  runUntil([&] {
     return first.core().isReady() && second.core().isReady() &&
            third.core().isReady();
   });
@@ -104,10 +104,10 @@
 
 TEST_F(EntryDaemons, APeerWithAnOlderConfigurationReceivesTheNewerOne)
 {
-  EntryDaemon& first = add("127.0.0.1", { at("127.0.0.2") });
-  EntryDaemon& second = add("127.0.0.2", {});
+  EntryDaemon& first = addDaemon("127.0.0.1", { addressOf("127.0.0.2") });
+  EntryDaemon& second = addDaemon("127.0.0.2", {});
   first.core().configurationRead("7");
-  await([&] { return second.core().routing()->version() == 7; });
+  runUntil([&] { return second.core().routing()->version() == 7; });
 }
 
 } // namespace
--- a/tests/entry/heartbeatplan_test.cpp
+++ b/tests/entry/heartbeatplan_test.cpp
@@ -99,13 +99,13 @@
   sendHeartbeats(up, {}, seconds(3));
   for (const VmId& peer : up)
     send(peer, false);
-  unsigned most = 0;
+  unsigned maxPerInterval = 0;
   for (int interval = 0; interval < 10; ++interval) {
     total = 0;
     sendHeartbeats(up, {}, milliseconds(1));
-    most = std::max(most, total);
+    maxPerInterval = std::max(maxPerInterval, total);
   }
-  EXPECT_LE(most, 2 * settings.perInterval)
+  EXPECT_LE(maxPerInterval, 2 * settings.perInterval)
     << "the peers aren't sent heartbeats all at once";
   EXPECT_EQ(late, 0u);
 }
--- a/tests/entry/slownetwork.h
+++ b/tests/entry/slownetwork.h
@@ -15,9 +15,9 @@
 
 /// Simulates daemons of one zone whose machines have links of a limited rate,
 /// on a virtual clock. Every connection has a queue at its sender, and the
-/// links serve all queues in turn. A connection over which no whole message
+/// links serve all queues in turn. A connection over which no complete message
 /// arrives within the silence limit is closed, its queued messages are dropped,
-/// and it is opened anew.
+/// and it is opened again.
 class SlowNetwork
 {
 public:
