--- a/tests/entry/configurationdistribution_test.cpp
+++ b/tests/entry/configurationdistribution_test.cpp
@@ -57,6 +57,8 @@
   EXPECT_LT(network.receivedBytes(0) - before, 2 * largeBytes);
 }
 
+/// Guards against a daemon that stays without a configuration because it starts
+/// while the platform is unavailable.
 TEST(ConfigurationDistribution,
      ReachesADaemonThatStartsWhileThePlatformIsUnavailable)
 {
@@ -69,6 +71,8 @@
   EXPECT_EQ(network.lostConnections(), 0u);
 }
 
+/// Guards against an overload of the link of the only daemon that has read the
+/// new version. 40 other daemons request the version from it.
 TEST(ConfigurationDistribution,
      ReachesAllFromTheOnlyDaemonThatThePlatformServes)
 {
@@ -81,6 +85,8 @@
   EXPECT_EQ(network.lostConnections(), 0u);
 }
 
+/// Guards against transfers from other daemons that delay the platform's answer
+/// on the same slow link.
 TEST(ConfigurationDistribution, LeavesTheLinkToThePlatformsAnswerWhileItArrives)
 {
   SlowNetwork network(region());
@@ -95,6 +101,8 @@
   EXPECT_LT(network.receivedBytes(0) - before, largeBytes / 10);
 }
 
+/// Guards against transfers that never complete because a newer version appears
+/// every 400 ms.
 TEST(ConfigurationDistribution, KeepsUpWithFrequentConfigurations)
 {
   SlowNetwork network(region());
--- a/tests/entry/simulation_test.cpp
+++ b/tests/entry/simulation_test.cpp
@@ -20,7 +20,9 @@
     ADD_FAILURE() << violation;
 }
 
-TEST(DaemonGroup, CompletesAllJobsWithoutFaults)
+/// Guards against jobs that fail or are left without an answer although no
+/// fault is injected.
+TEST(DaemonGroup, CompletesNearlyAllJobsWithoutFaults)
 {
   Simulation::Settings settings;
   settings.hasFailures = false;
@@ -33,6 +35,8 @@
   EXPECT_EQ(simulation.failed(), 0u);
 }
 
+/// Guards against two daemons that hold the same shard, and against a shard
+/// without a holder.
 TEST(DaemonGroup, EachShardHasOneHolder)
 {
   Simulation simulation({}, 2);
@@ -72,6 +76,8 @@
             simulation.submitted() * 97 / 100);
 }
 
+/// Guards against a daemon that holds more workers than its link can serve. A
+/// zone of eight daemons with slow links is divided into eight shards.
 TEST(DaemonGroup, DividesAZoneByTheCapacityOfItsSlowestLink)
 {
   Simulation simulation(withSlowLinks(), 2);
@@ -246,6 +252,9 @@
   return settings;
 }
 
+/// Guards against workers that no daemon uses after their zone's only daemon
+/// has shut down. A daemon of another zone holds the shard until the zone's
+/// daemon has started again.
 TEST(DaemonGroup, AnotherZoneTakesOverWhenTheLastDaemonLeaves)
 {
   Simulation simulation(withSingleDaemonZones(), 3);
@@ -262,6 +271,8 @@
   expectNoViolations(simulation);
 }
 
+/// As above, but the zone's only daemon is powered off and can't hand over its
+/// shard.
 TEST(DaemonGroup, AnotherZoneTakesOverWhenTheLastDaemonIsLost)
 {
   Simulation simulation(withSingleDaemonZones(), 3);
@@ -275,6 +286,8 @@
   expectNoViolations(simulation);
 }
 
+/// Guards against a takeover of workers whose holder is alive and still serves
+/// its callers, but is unreachable for the other daemons.
 TEST(DaemonGroup, ADaemonThatIsPartitionedFromOtherDaemonsKeepsItsWorkers)
 {
   Simulation simulation(withSingleDaemonZones(), 3);
@@ -289,6 +302,8 @@
   expectNoViolations(simulation);
 }
 
+/// Guards against starts in an evacuated zone, and against refused jobs that
+/// the other zones have capacity for.
 TEST(DaemonGroup, OtherZonesServeTheCallersOfAnEvacuatedZone)
 {
   Simulation simulation(withRoomToEvacuate(), 4);
@@ -309,6 +324,8 @@
   expectNoViolations(simulation);
 }
 
+/// Guards against starts in an evacuated zone by its daemons, which never read
+/// the evacuation from the platform. One of them restarts meanwhile.
 TEST(DaemonGroup, ADaemonThatCannotReadThePlatformLearnsOfEvacuationsFromOthers)
 {
   Simulation::Settings settings = withRoomToEvacuate();
@@ -324,6 +341,8 @@
   expectNoViolations(simulation);
 }
 
+/// Guards against callers that wait for a holder while all zones are evacuated,
+/// and against a group that doesn't resume after the zones are reopened.
 TEST(DaemonGroup, CallersAreRefusedAtOnceWhileAllZonesAreEvacuated)
 {
   Simulation simulation(withRoomToEvacuate(), 6);
