--- a/src/libasynchttp/asynchttp.h
+++ b/src/libasynchttp/asynchttp.h
@@ -2,4 +2,4 @@
 
 #include "asynchttpserver.h"
 #include "httpchannel.h"
-#include "httpchannelpool.h"
+#include "asynchttpconnectionpool.h"
--- a/src/libasynchttp/httpchannelpool.cpp
+++ b/src/libasynchttp/asynchttpconnectionpool.cpp
@@ -1,4 +1,4 @@
-#include "httpchannelpool.h"
+#include "asynchttpconnectionpool.h"
 
 #include <boost/asio/post.hpp>
 
--- a/tests/asynchttp/slowanswer_test.cpp
+++ b/tests/asynchttp/slowresponse_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/storefollower.h"
+#include "platform/topicreader.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/platformadapter/evacuationentries_test.cpp
+++ b/tests/platformadapter/evacuationrequests_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/evacuationentries.h"
+#include "platform/evacuationrequests.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/platformadapter/records_test.cpp
+++ b/tests/platformadapter/records_test.cpp
@@ -1,7 +1,7 @@
-#include "platform/ownentries.h"
+#include "platform/daemonentries.h"
 #include "platform/platformsettings.h"
 #include "platform/storerecord.h"
-#include "platform/wirerecords.h"
+#include "platform/platformdecoders.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
--- a/tests/platformadapter/settingswatch_test.cpp
+++ b/tests/platformadapter/settingswatcher_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/settingswatch.h"
+#include "platform/settingswatcher.h"
 
 #include <gtest/gtest.h>
 
