--- a/src/libasynchttp/asynchttp.h
+++ b/src/libasynchttp/asynchttp.h
@@ -1,5 +1,5 @@
 #pragma once
 
+#include "asynchttpconnectionpool.h"
 #include "asynchttpserver.h"
 #include "httpchannel.h"
-#include "asynchttpconnectionpool.h"
--- a/src/libasynchttp/asynchttpconnectionpool.cpp
+++ b/src/libasynchttp/asynchttpconnectionpool.cpp
@@ -7,33 +7,34 @@
 
 namespace cowslippin {
 
-HttpChannelPool::HttpChannelPool(boost::asio::io_context& context,
-                                 Address address,
-                                 std::size_t limit)
+AsyncHttpConnectionPool::AsyncHttpConnectionPool(
+  boost::asio::io_context& context,
+  Address address,
+  std::size_t maxConnections)
   : m_context(context)
   , m_address(std::move(address))
-  , m_limit(limit)
+  , m_maxConnections(maxConnections)
 {
 }
 
-HttpChannelPool::~HttpChannelPool()
+AsyncHttpConnectionPool::~AsyncHttpConnectionPool()
 {
-  for (const auto& channel : m_channels)
-    channel->close();
+  for (const auto& connection : m_connections)
+    connection->close();
 }
 
 void
-HttpChannelPool::call(const HttpCallOrder& order,
-                      TimePoint deadline,
-                      HttpChannel::Done done)
+AsyncHttpConnectionPool::call(const HttpCallOrder& order,
+                              TimePoint deadline,
+                              HttpChannel::Done done)
 {
   std::shared_ptr<HttpChannel> best;
-  for (const auto& channel : m_channels) {
-    if (!channel->isBusy() && channel->isOpen() &&
-        (!best || channel->idleSince() > best->idleSince()))
-      best = channel;
+  for (const auto& connection : m_connections) {
+    if (!connection->isBusy() && connection->isOpen() &&
+        (!best || connection->idleSince() > best->idleSince()))
+      best = connection;
   }
-  if (!best && m_channels.size() >= m_limit) {
+  if (!best && m_connections.size() >= m_maxConnections) {
     boost::asio::post(m_context, [done = std::move(done)] {
       done({ HttpCallEnd::Kind::NotSent, 0, {} });
     });
@@ -41,31 +42,33 @@
   }
   if (!best) {
     best = std::make_shared<HttpChannel>(m_context, m_address);
-    m_channels.push_back(best);
+    m_connections.push_back(best);
   }
   best->call(order, deadline, std::move(done));
 }
 
 void
-HttpChannelPool::expire(TimePoint now)
+AsyncHttpConnectionPool::expire(TimePoint now)
 {
-  // An ended call may start another one, which adds a channel.
-  const auto channels = m_channels;
-  for (const auto& channel : channels)
-    channel->expire(now);
-  const auto isDead = [](const auto& channel) {
-    return !channel->isBusy() && !channel->isOpen();
+  // The callback of an ended call may start another call, which adds a
+  // connection.
+  const auto connections = m_connections;
+  for (const auto& connection : connections)
+    connection->expire(now);
+  const auto isClosed = [](const auto& connection) {
+    return !connection->isBusy() && !connection->isOpen();
   };
-  m_channels.erase(std::remove_if(m_channels.begin(), m_channels.end(), isDead),
-                   m_channels.end());
+  m_connections.erase(
+    std::remove_if(m_connections.begin(), m_connections.end(), isClosed),
+    m_connections.end());
 }
 
 bool
-HttpChannelPool::isReceiving() const
+AsyncHttpConnectionPool::isReceiving() const
 {
   return std::any_of(
-    m_channels.begin(), m_channels.end(), [](const auto& channel) {
-      return channel->isReceiving();
+    m_connections.begin(), m_connections.end(), [](const auto& connection) {
+      return connection->isReceiving();
     });
 }
 
--- a/src/libasynchttp/asynchttpconnectionpool.h
+++ b/src/libasynchttp/asynchttpconnectionpool.h
@@ -7,37 +7,39 @@
 
 namespace cowslippin {
 
-/// The connections to one server, each used for one call at a time.
-class HttpChannelPool
+/// The connections to one server, each with one call at a time.
+class AsyncHttpConnectionPool
 {
 public:
-  HttpChannelPool(boost::asio::io_context& context,
-                  Address address,
-                  std::size_t limit);
-  ~HttpChannelPool();
-  HttpChannelPool(const HttpChannelPool&) = delete;
-  HttpChannelPool& operator=(const HttpChannelPool&) = delete;
-
-  /// Calls over the connection that was used last, or a new one. `done` is
-  /// told `NotSent` if as many calls as allowed are under way; it is never
-  /// called from within.
+  /// `maxConnections` is also the most calls in progress at a time.
+  AsyncHttpConnectionPool(boost::asio::io_context& context,
+                          Address address,
+                          std::size_t maxConnections);
+  ~AsyncHttpConnectionPool();
+  AsyncHttpConnectionPool(const AsyncHttpConnectionPool&) = delete;
+  AsyncHttpConnectionPool& operator=(const AsyncHttpConnectionPool&) = delete;
+
+  /// Sends a call over the most recently used idle connection, or over a new
+  /// one. `done` is called once, never from within `call`; with `NotSent` if
+  /// `maxConnections` calls are in progress.
   void call(const HttpCallOrder& order,
             TimePoint deadline,
             HttpChannel::Done done);
 
-  /// Ends calls whose time is over and drops closed connections.
+  /// Ends calls whose deadline has passed and removes closed connections. The
+  /// owner calls it at short intervals.
   void expire(TimePoint now);
 
-  /// Whether a part of an answer to any call has come.
+  /// Whether a part of a response to any call in progress has been received.
   bool isReceiving() const;
 
-  std::size_t size() const { return m_channels.size(); }
+  std::size_t size() const { return m_connections.size(); }
 
 private:
   boost::asio::io_context& m_context;
   const Address m_address;
-  const std::size_t m_limit;
-  std::vector<std::shared_ptr<HttpChannel>> m_channels;
+  const std::size_t m_maxConnections;
+  std::vector<std::shared_ptr<HttpChannel>> m_connections;
 };
 
 } // namespace cowslippin
--- a/src/libasynchttp/asynchttpserver.cpp
+++ b/src/libasynchttp/asynchttpserver.cpp
@@ -18,7 +18,7 @@
 using boost::system::error_code;
 using net::ip::tcp;
 
-/// A request with its body is mostly smaller; the buffer grows if not.
+/// Most requests with their bodies are smaller; the buffer grows for others.
 constexpr std::size_t initialBufferBytes = 1024;
 
 HttpRequest
@@ -27,10 +27,10 @@
   HttpRequest::Fields fields;
   fields.method = std::string(message.method_string());
   const std::string target(message.target());
-  const std::size_t mark = target.find('?');
-  fields.path = target.substr(0, mark);
-  if (mark != std::string::npos)
-    fields.query = target.substr(mark + 1);
+  const std::size_t queryStart = target.find('?');
+  fields.path = target.substr(0, queryStart);
+  if (queryStart != std::string::npos)
+    fields.query = target.substr(queryStart + 1);
   for (const auto& field : message)
     fields.headers.emplace_back(std::string(field.name_string()),
                                 std::string(field.value()));
@@ -40,7 +40,7 @@
 
 } // namespace
 
-/// One connection of a client, and its request that waits, if there is one.
+/// A client's connection, and its pending request if there is one.
 class AsyncHttpServer::Session
   : public HttpTransaction
   , public std::enable_shared_from_this<Session>
@@ -53,9 +53,9 @@
     m_buffer.reserve(initialBufferBytes);
   }
 
-  ~Session() override { setWaiting(false); }
+  ~Session() override { setPending(false); }
 
-  void read()
+  void readRequest()
   {
     const auto server = m_server.lock();
     if (!server)
@@ -68,49 +68,49 @@
       m_buffer,
       *m_parser,
       [self = shared_from_this()](error_code error, std::size_t) {
-        self->readDone(error);
+        self->requestRead(error);
       });
   }
 
   void answer(const HttpReply& reply) override
   {
-    if (!m_isWaiting || m_isAnswered)
+    if (!m_isPending || m_isAnswered)
       return;
     m_isAnswered = true;
-    m_gone = nullptr;
+    m_onClientDisconnected = nullptr;
     const auto server = m_server.lock();
-    const bool asksToClose = reply.header("Connection") == "close";
+    const bool replyCloses = reply.header("Connection") == "close";
     const bool isLast =
-      asksToClose || !m_keepAlive || !server || (*server)->m_isClosing;
-    m_output = render(reply, isLast && !asksToClose);
+      replyCloses || !m_keepAlive || !server || (*server)->m_closesAfterReplies;
+    m_output = render(reply, isLast && !replyCloses);
     error_code ignored;
-    if (m_isWatching)
+    if (m_isWatchingForDisconnect)
       m_socket.cancel(ignored);
     net::async_write(
       m_socket,
       net::buffer(m_output),
       [self = shared_from_this(), isLast](error_code error, std::size_t) {
-        self->written(error, isLast);
+        self->replyWritten(error, isLast);
       });
   }
 
-  void onClientGone(std::function<void()> gone) override
+  void onClientDisconnected(std::function<void()> callback) override
   {
-    m_gone = std::move(gone);
+    m_onClientDisconnected = std::move(callback);
   }
 
   void closeIfIdle()
   {
-    if (!m_isWaiting)
+    if (!m_isPending)
       close();
   }
 
 private:
-  void readDone(error_code error)
+  void requestRead(error_code error)
   {
     if (error == http::error::body_limit ||
         error == http::error::header_limit) {
-      setWaiting(true);
+      setPending(true);
       m_keepAlive = false;
       answer(HttpReply::json(413, "{\"error\":\"the request is too large\"}"));
       return;
@@ -119,7 +119,7 @@
       close();
       return;
     }
-    setWaiting(true);
+    setPending(true);
     m_keepAlive = m_parser->get().keep_alive();
     const HttpRequest request = toHttpRequest(m_parser->get());
     m_parser.reset();
@@ -128,25 +128,25 @@
       return;
     (*server)->m_handler(request, shared_from_this());
     if (!m_isAnswered)
-      watch();
+      watchForDisconnect();
   }
 
-  /// Waits for the client to close its end. Bytes of a further request end the
-  /// watch.
-  void watch()
+  /// Waits for the client to disconnect. Ends without effect when bytes of a
+  /// further request arrive.
+  void watchForDisconnect()
   {
     if (m_buffer.size() > 0)
       return;
-    m_isWatching = true;
+    m_isWatchingForDisconnect = true;
     m_socket.async_wait(tcp::socket::wait_read,
                         [self = shared_from_this()](error_code error) {
-                          self->m_isWatching = false;
+                          self->m_isWatchingForDisconnect = false;
                           if (!error && !self->m_isAnswered)
-                            self->checkClient();
+                            self->checkForDisconnect();
                         });
   }
 
-  void checkClient()
+  void checkForDisconnect()
   {
     char byte = 0;
     error_code error;
@@ -154,28 +154,28 @@
     const std::size_t count = m_socket.receive(
       net::buffer(&byte, 1), net::socket_base::message_peek, error);
     if (error == net::error::would_block) {
-      watch();
+      watchForDisconnect();
       return;
     }
     if (!error && count > 0)
       return;
     m_isAnswered = true;
-    setWaiting(false);
+    setPending(false);
     close();
-    if (const auto gone = std::exchange(m_gone, nullptr))
-      gone();
+    if (const auto callback = std::exchange(m_onClientDisconnected, nullptr))
+      callback();
   }
 
-  void written(error_code error, bool isLast)
+  void replyWritten(error_code error, bool isLast)
   {
-    setWaiting(false);
+    setPending(false);
     m_isAnswered = false;
     m_output.clear();
     if (error || isLast) {
       close();
       return;
     }
-    read();
+    readRequest();
   }
 
   void close()
@@ -185,12 +185,13 @@
     m_socket.close(ignored);
   }
 
-  void setWaiting(bool isWaiting)
+  void setPending(bool isPending)
   {
     const auto server = m_server.lock();
-    if (server && isWaiting != m_isWaiting)
-      isWaiting ? ++(*server)->m_waiting : --(*server)->m_waiting;
-    m_isWaiting = isWaiting;
+    if (server && isPending != m_isPending)
+      isPending ? ++(*server)->m_pendingRequests
+                : --(*server)->m_pendingRequests;
+    m_isPending = isPending;
   }
 
   static std::string render(const HttpReply& reply, bool isLast)
@@ -215,11 +216,11 @@
   boost::beast::flat_buffer m_buffer;
   std::optional<http::request_parser<http::string_body>> m_parser;
   std::string m_output;
-  std::function<void()> m_gone;
+  std::function<void()> m_onClientDisconnected;
   bool m_keepAlive = true;
-  bool m_isWaiting = false;
+  bool m_isPending = false;
   bool m_isAnswered = false;
-  bool m_isWatching = false;
+  bool m_isWatchingForDisconnect = false;
 };
 
 AsyncHttpServer::AsyncHttpServer(net::io_context& context,
@@ -243,15 +244,15 @@
   error_code error;
   const auto host = net::ip::make_address(address.host(), error);
   const tcp::endpoint endpoint(host, address.port());
-  const auto attempt = [&](auto step) {
+  const auto ifNoError = [&](auto step) {
     if (!error)
       step();
   };
-  attempt([&] { m_acceptor.open(endpoint.protocol(), error); });
-  attempt(
+  ifNoError([&] { m_acceptor.open(endpoint.protocol(), error); });
+  ifNoError(
     [&] { m_acceptor.set_option(tcp::acceptor::reuse_address(true), error); });
-  attempt([&] { m_acceptor.bind(endpoint, error); });
-  attempt([&] { m_acceptor.listen(m_settings.backlog, error); });
+  ifNoError([&] { m_acceptor.bind(endpoint, error); });
+  ifNoError([&] { m_acceptor.listen(m_settings.backlog, error); });
   if (error)
     return Problem::invalidField("listening address",
                                  address.toString(),
@@ -273,7 +274,7 @@
 }
 
 std::size_t
-AsyncHttpServer::connections() const
+AsyncHttpServer::connectionCount() const
 {
   std::size_t count = 0;
   for (const auto& session : m_sessions)
@@ -295,7 +296,7 @@
         std::make_shared<Session>(std::move(socket), std::weak_ptr(m_self));
       m_sessions.remove_if([](const auto& weak) { return weak.expired(); });
       m_sessions.push_back(session);
-      session->read();
+      session->readRequest();
     } else {
       logEvent(
         LogLevel::Warning, "accept-failed", { { "reason", error.message() } });
--- a/src/libasynchttp/asynchttpserver.h
+++ b/src/libasynchttp/asynchttpserver.h
@@ -15,8 +15,9 @@
 
 namespace cowslippin {
 
-/// An HTTP/1.1 server on one thread, for requests that wait long: a waiting
-/// request costs its connection's buffers and no thread. Built on Boost.Beast.
+/// An HTTP/1.1 server on one thread, for requests that take long: a pending
+/// request costs the buffers of its connection and no thread. Built on
+/// Boost.Beast.
 class AsyncHttpServer
 {
 public:
@@ -24,8 +25,8 @@
   {
     std::uint32_t maxHeaderBytes = 16 * 1024;
     std::uint64_t maxBodyBytes = std::uint64_t(256) * 1024;
-    /// Connections that may wait to be accepted. Beyond it opening packets are
-    /// dropped and come again after a second.
+    /// How many connections may wait to be accepted. Beyond that the kernel
+    /// drops SYN packets, which the client repeats after a second.
     int backlog = 512;
   };
 
@@ -37,18 +38,19 @@
                   Handler handler);
   ~AsyncHttpServer();
 
-  /// Listens and serves; a problem if the address can't be used.
+  /// Begins to accept connections. A problem if the address can't be used.
   std::optional<Problem> listen(const Address& address);
 
-  /// Every answer from now on tells the client to open a new connection.
-  void closeAfterAnswers() { m_isClosing = true; }
+  /// From now on each reply closes its connection, so that the client opens a
+  /// new one.
+  void closeConnectionsAfterReplies() { m_closesAfterReplies = true; }
 
-  /// Accepts no more and closes the connections that wait for no answer.
+  /// Accepts no more connections and closes those without a pending request.
   void stop();
 
-  /// Requests that have been read and not been answered in full.
-  std::size_t waiting() const { return m_waiting; }
-  std::size_t connections() const;
+  /// The number of requests that were read and whose reply isn't fully written.
+  std::size_t pendingRequests() const { return m_pendingRequests; }
+  std::size_t connectionCount() const;
 
 private:
   class Session;
@@ -59,9 +61,10 @@
   const Handler m_handler;
   boost::asio::ip::tcp::acceptor m_acceptor;
   std::list<std::weak_ptr<Session>> m_sessions;
-  std::size_t m_waiting = 0;
-  bool m_isClosing = false;
-  /// Sessions may outlive the server; they check this before they use it.
+  std::size_t m_pendingRequests = 0;
+  bool m_closesAfterReplies = false;
+  /// Sessions may outlive the server. They hold a weak pointer to this and
+  /// check it before each use of the server.
   std::shared_ptr<AsyncHttpServer*> m_self;
 };
 
--- a/src/libasynchttp/httpchannel.cpp
+++ b/src/libasynchttp/httpchannel.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// What is read at a time: little at first, as most answers are short and there
-/// are hundreds of channels, and twice as much each time that it was all there.
+/// The size of a read. It begins small, as most responses are short and there
+/// are hundreds of connections, and doubles each time that a read was filled.
 constexpr std::size_t minReadBytes = 512;
 constexpr std::size_t maxReadBytes = std::size_t(64) << 10;
 
@@ -35,12 +35,12 @@
 {
   m_done = std::move(done);
   m_deadline = deadline;
-  m_pauseLimit = order.pauseLimit;
-  m_lastDeadline = deadline + maxAnswerTime;
-  m_output = render(order);
+  m_idleTimeout = order.idleTimeout;
+  m_latestDeadline = deadline + maxDeadlineExtension;
+  m_output = encode(order);
   m_isSent = false;
   m_receivedBytes = 0;
-  m_heededBytes = 0;
+  m_bytesAtExtension = 0;
   ++m_generation;
   if (m_isConnected && wasClosedByPeer())
     close();
@@ -58,19 +58,21 @@
   extendDeadline(now);
   if (now < m_deadline)
     return;
-  end(m_isSent ? HttpCallEnd::Kind::Unanswered : HttpCallEnd::Kind::NotSent);
+  endCall(m_isSent ? HttpCallEnd::Kind::Unanswered
+                   : HttpCallEnd::Kind::NotSent);
 }
 
-/// An answer that keeps coming isn't given up: asked for again it would begin
-/// at its first byte, on a link that is no faster.
+/// A call whose response is still being received doesn't end at its first
+/// deadline: a retry would begin at the first byte, on a link that is no
+/// faster.
 void
 HttpChannel::extendDeadline(TimePoint now)
 {
-  if (!m_pauseLimit || m_receivedBytes == m_heededBytes)
+  if (!m_idleTimeout || m_receivedBytes == m_bytesAtExtension)
     return;
-  m_heededBytes = m_receivedBytes;
+  m_bytesAtExtension = m_receivedBytes;
   m_deadline =
-    std::min(std::max(m_deadline, now + *m_pauseLimit), m_lastDeadline);
+    std::min(std::max(m_deadline, now + *m_idleTimeout), m_latestDeadline);
 }
 
 void
@@ -93,11 +95,12 @@
   if (!error)
     m_socket.set_option(tcp::no_delay(true), error);
   m_socket.async_connect(
-    peer, [self = shared_from_this(), call = m_generation](error_code failed) {
-      if (call != self->m_generation || !self->isBusy())
+    peer,
+    [self = shared_from_this(), generation = m_generation](error_code failed) {
+      if (generation != self->m_generation || !self->isBusy())
         return;
       if (failed) {
-        self->end(HttpCallEnd::Kind::NotSent);
+        self->endCall(HttpCallEnd::Kind::NotSent);
         return;
       }
       self->m_isConnected = true;
@@ -112,11 +115,11 @@
   net::async_write(m_socket,
                    net::buffer(m_output),
                    [self = shared_from_this(),
-                    call = m_generation](error_code error, std::size_t) {
-                     if (call != self->m_generation || !self->isBusy())
+                    generation = m_generation](error_code error, std::size_t) {
+                     if (generation != self->m_generation || !self->isBusy())
                        return;
                      if (error)
-                       self->end(HttpCallEnd::Kind::Unanswered);
+                       self->endCall(HttpCallEnd::Kind::Unanswered);
                      else
                        self->read();
                    });
@@ -126,25 +129,26 @@
 HttpChannel::read()
 {
   m_parser.emplace();
-  m_parser->body_limit(maxAnswerBytes);
+  m_parser->body_limit(maxResponseBytes);
   m_parser->eager(true);
   m_readBytes = minReadBytes;
-  readOn();
+  readMore();
 }
 
 void
-HttpChannel::readOn()
+HttpChannel::readMore()
 {
-  m_socket.async_read_some(m_buffer.prepare(m_readBytes),
-                           [self = shared_from_this(), call = m_generation](
-                             error_code error, std::size_t bytes) {
-                             if (call == self->m_generation && self->isBusy())
-                               self->partRead(error, bytes);
-                           });
+  m_socket.async_read_some(
+    m_buffer.prepare(m_readBytes),
+    [self = shared_from_this(), generation = m_generation](error_code error,
+                                                           std::size_t bytes) {
+      if (generation == self->m_generation && self->isBusy())
+        self->bytesRead(error, bytes);
+    });
 }
 
 void
-HttpChannel::partRead(error_code error, std::size_t bytes)
+HttpChannel::bytesRead(error_code error, std::size_t bytes)
 {
   m_buffer.commit(bytes);
   m_receivedBytes += bytes;
@@ -153,13 +157,13 @@
   if (!error)
     error = parse();
   else if (error == net::error::eof && m_parser->got_some())
-    error = parseEnd();
+    error = parseEndOfStream();
   if (error)
-    end(HttpCallEnd::Kind::Unanswered);
+    endCall(HttpCallEnd::Kind::Unanswered);
   else if (m_parser->is_done())
-    end(HttpCallEnd::Kind::Answered);
+    endCall(HttpCallEnd::Kind::Answered);
   else
-    readOn();
+    readMore();
 }
 
 error_code
@@ -171,9 +175,9 @@
   return error == http::error::need_more ? error_code() : error;
 }
 
-/// An answer without a length ends with its connection.
+/// A response without a length ends when the server closes the connection.
 error_code
-HttpChannel::parseEnd()
+HttpChannel::parseEndOfStream()
 {
   error_code error;
   m_parser->put_eof(error);
@@ -181,7 +185,7 @@
 }
 
 void
-HttpChannel::end(HttpCallEnd::Kind kind)
+HttpChannel::endCall(HttpCallEnd::Kind kind)
 {
   HttpCallEnd result;
   result.kind = kind;
@@ -197,8 +201,9 @@
     close();
   if (m_buffer.capacity() > minReadBytes)
     m_buffer.shrink_to_fit();
-  // The parser may be in use by an operation that close has aborted; it is
-  // replaced by the next read on this channel only after that has returned.
+  // An operation that `close` has aborted may still use the parser. The next
+  // read on this connection replaces the parser only after that operation has
+  // returned.
   ++m_generation;
   m_idleSince = steadyNow();
   const Done done = std::exchange(m_done, nullptr);
@@ -206,7 +211,7 @@
 }
 
 std::string
-HttpChannel::render(const HttpCallOrder& order) const
+HttpChannel::encode(const HttpCallOrder& order) const
 {
   std::string text =
     order.method + ' ' + order.target + " HTTP/1.1\r\nHost: " + m_host + "\r\n";
--- a/src/libasynchttp/httpchannel.h
+++ b/src/libasynchttp/httpchannel.h
@@ -16,70 +16,77 @@
 
 namespace cowslippin {
 
-/// A call for `HttpChannel`.
+/// A request that an `HttpChannel` sends.
 struct HttpCallOrder
 {
   std::string method = "GET";
-  /// Path and query.
+  /// The path with the query.
   std::string target = "/";
   HttpHeaders headers;
   std::string contentType;
   std::string body;
-  /// How long an answer may pause once it has begun; then the deadline of the
-  /// call no longer counts. Nothing: the whole answer must be there by then.
-  std::optional<Duration> pauseLimit;
+  /// Once the response has begun, the longest pause in it; each received part
+  /// extends the deadline of the call accordingly. If empty, the deadline
+  /// applies to the whole response.
+  std::optional<Duration> idleTimeout;
 };
 
-/// How a call over an `HttpChannel` ended.
+/// The result of a call over an `HttpChannel`.
 struct HttpCallEnd
 {
   enum class Kind
   {
+    /// A whole response was received.
     Answered,
-    /// No connection could be had; nothing was sent.
+    /// No connection could be established, so nothing was sent.
     NotSent,
-    /// It may have been carried out.
+    /// The request may have been sent, but no whole response was received. The
+    /// server may have carried it out.
     Unanswered,
   };
 
   Kind kind = Kind::Unanswered;
   int status = 0;
   std::string body;
-  /// How much of an answer came, whole or not.
+  /// The received bytes of the response, also if it is incomplete.
   std::size_t receivedBytes = 0;
 };
 
-/// One client connection that carries one call at a time and is kept for the
-/// next. Times are checked by `expire`, which the owner calls at short
-/// intervals: that costs less than a timer for each call.
+/// A client connection that carries one call at a time and is kept open for the
+/// next one. The owner calls `expire` at short intervals to check the deadline,
+/// which costs less than a timer for each call.
 class HttpChannel : public std::enable_shared_from_this<HttpChannel>
 {
 public:
   using Done = std::function<void(const HttpCallEnd&)>;
 
-  /// Answers longer than this are taken as none, in bytes.
-  static constexpr std::uint64_t maxAnswerBytes = std::uint64_t(8) << 20;
-  /// However steadily it comes, an answer is given up so long after the
-  /// deadline of its call: on a link of 2 Mbit/s 5 MB have come by then.
-  static constexpr Duration maxAnswerTime = std::chrono::seconds(20);
+  /// A call with a longer response body ends as `Unanswered`.
+  static constexpr std::uint64_t maxResponseBytes = std::uint64_t(8) << 20;
+  /// Received parts of a response extend the deadline of its call by this at
+  /// most, in which 5 MB are received over a link of 2 Mbit/s.
+  static constexpr Duration maxDeadlineExtension = std::chrono::seconds(20);
 
-  /// `host` is what the calls name as their host; empty for the address.
+  /// `host` is the value of the header field `Host`; if empty, the address.
   HttpChannel(boost::asio::io_context& context,
               Address address,
               std::string host = {});
 
-  /// Only while `isBusy` is false. `done` is called once, never from within.
+  /// Sends a request. Must only be called while `isBusy` is false. `done` is
+  /// called once, never from within `call`.
   void call(const HttpCallOrder& order, TimePoint deadline, Done done);
 
+  /// Whether a call is in progress.
   bool isBusy() const { return static_cast<bool>(m_done); }
   bool isOpen() const { return m_isConnected; }
-  /// Whether a part of an answer has come.
+  /// Whether a part of the response to the call in progress has been received.
   bool isReceiving() const { return isBusy() && m_receivedBytes > 0; }
+  /// When the last call ended.
   TimePoint idleSince() const { return m_idleSince; }
 
-  /// Ends a call whose time is over, and closes the connection with it.
+  /// Ends the call in progress if its deadline has passed, and then closes the
+  /// connection.
   void expire(TimePoint now);
-  /// Closes the connection; a call under way ends.
+  /// Closes the connection; a call in progress ends.
   void close();
 
 private:
@@ -91,12 +98,12 @@
   void connect();
   void write();
   void read();
-  void readOn();
-  void partRead(boost::system::error_code error, std::size_t bytes);
+  void readMore();
+  void bytesRead(boost::system::error_code error, std::size_t bytes);
   boost::system::error_code parse();
-  boost::system::error_code parseEnd();
-  void end(HttpCallEnd::Kind kind);
-  std::string render(const HttpCallOrder& order) const;
+  boost::system::error_code parseEndOfStream();
+  void endCall(HttpCallEnd::Kind kind);
+  std::string encode(const HttpCallOrder& order) const;
   bool wasClosedByPeer();
 
   boost::asio::ip::tcp::socket m_socket;
@@ -107,17 +114,19 @@
   std::string m_output;
   Done m_done;
   TimePoint m_deadline{};
-  std::optional<Duration> m_pauseLimit;
-  TimePoint m_lastDeadline{};
+  std::optional<Duration> m_idleTimeout;
+  /// The deadline is never extended beyond this.
+  TimePoint m_latestDeadline{};
   TimePoint m_idleSince{};
   bool m_isConnected = false;
   bool m_isSent = false;
-  /// How much is read at a time.
+  /// The size of the next read.
   std::size_t m_readBytes = 0;
   std::size_t m_receivedBytes = 0;
-  /// What of it the deadline allows for already.
-  std::size_t m_heededBytes = 0;
-  /// Rises with each call, so that what belongs to an ended one is ignored.
+  /// `m_receivedBytes` when the deadline was last extended.
+  std::size_t m_bytesAtExtension = 0;
+  /// Rises at the start and end of each call, so that completions of operations
+  /// of an ended call are ignored.
   std::uint64_t m_generation = 0;
 };
 
--- a/src/libasynchttp/httptransaction.h
+++ b/src/libasynchttp/httptransaction.h
@@ -6,19 +6,21 @@
 
 namespace cowslippin {
 
-/// A request that waits for its answer. It may be answered later, from the
-/// thread of the I/O context, once.
+/// A received request and its reply. The reply may be sent at any later time,
+/// once, on the thread of the I/O context.
 class HttpTransaction
 {
 public:
   virtual ~HttpTransaction() = default;
 
-  /// Sends the answer; does nothing if the client is gone or was answered. A
-  /// reply with the header field `Connection: close` ends the connection.
+  /// Sends the reply. Does nothing if the client has disconnected or a reply
+  /// was sent. A reply with the header field `Connection: close` closes the
+  /// connection.
   virtual void answer(const HttpReply& reply) = 0;
 
-  /// Called if the client closes its connection before it is answered.
-  virtual void onClientGone(std::function<void()> gone) = 0;
+  /// Sets the function to be called if the client disconnects before the reply
+  /// is sent.
+  virtual void onClientDisconnected(std::function<void()> callback) = 0;
 };
 
 } // namespace cowslippin
--- a/tests/asynchttp/asynchttp_test.cpp
+++ b/tests/asynchttp/asynchttp_test.cpp
@@ -40,8 +40,8 @@
   {
     requests.push_back(request);
     if (request.path() == "/wait") {
-      waiting = transaction;
-      transaction->onClientGone([this] { ++gone; });
+      pendingTransaction = transaction;
+      transaction->onClientDisconnected([this] { ++disconnects; });
     } else if (request.path() == "/close") {
       transaction->answer(
         HttpReply::json(503, "{}").withHeader("Connection", "close"));
@@ -61,7 +61,7 @@
     }
   }
 
-  HttpCallEnd call(HttpChannelPool& pool,
+  HttpCallEnd call(AsyncHttpConnectionPool& pool,
                    const std::string& path,
                    const std::string& body)
   {
@@ -81,60 +81,60 @@
   AsyncHttpServer server;
   Address address;
   std::vector<HttpRequest> requests;
-  Transaction waiting;
-  int gone = 0;
+  Transaction pendingTransaction;
+  int disconnects = 0;
 };
 
 TEST_F(AsyncHttp, AnswersAndKeepsTheConnection)
 {
-  HttpChannelPool pool(context, address, 4);
+  AsyncHttpConnectionPool pool(context, address, 4);
   EXPECT_EQ(call(pool, "/a", "one").body, "one");
   EXPECT_EQ(call(pool, "/b", "two").body, "two");
   EXPECT_EQ(pool.size(), 1u);
-  EXPECT_EQ(server.connections(), 1u);
+  EXPECT_EQ(server.connectionCount(), 1u);
   EXPECT_EQ(requests[1].path(), "/b");
 }
 
-TEST_F(AsyncHttp, AWaitingRequestIsAnsweredLater)
+TEST_F(AsyncHttp, APendingRequestIsAnsweredLater)
 {
-  HttpChannelPool pool(context, address, 4);
+  AsyncHttpConnectionPool pool(context, address, 4);
   std::optional<HttpCallEnd> end;
   HttpCallOrder order;
   order.target = "/wait";
   pool.call(order, steadyNow() + seconds(20), [&](const HttpCallEnd& value) {
     end = value;
   });
-  await([&] { return waiting != nullptr; });
-  EXPECT_EQ(server.waiting(), 1u);
+  await([&] { return pendingTransaction != nullptr; });
+  EXPECT_EQ(server.pendingRequests(), 1u);
   EXPECT_EQ(call(pool, "/other", "x").body, "x") << "on another connection";
-  waiting->answer(HttpReply::json(503, "later"));
+  pendingTransaction->answer(HttpReply::json(503, "later"));
   await([&] { return end.has_value(); });
   EXPECT_EQ(end->status, 503);
   EXPECT_EQ(end->body, "later");
-  await([&] { return server.waiting() == 0; });
+  await([&] { return server.pendingRequests() == 0; });
 }
 
-TEST_F(AsyncHttp, TellsThatAWaitingClientHasGone)
+TEST_F(AsyncHttp, ReportsThatTheClientOfAPendingRequestHasDisconnected)
 {
-  HttpChannelPool pool(context, address, 4);
+  AsyncHttpConnectionPool pool(context, address, 4);
   HttpCallOrder order;
   order.target = "/wait";
   std::optional<HttpCallEnd> end;
   pool.call(order,
             steadyNow() + milliseconds(1),
             [&](const HttpCallEnd& value) { end = value; });
-  await([&] { return waiting != nullptr; });
+  await([&] { return pendingTransaction != nullptr; });
   await([&] {
     pool.expire(steadyNow());
     return end.has_value();
   });
   EXPECT_EQ(end->kind, HttpCallEnd::Kind::Unanswered);
-  await([&] { return gone == 1; });
-  waiting->answer(HttpReply::json(200, "nobody reads this"));
-  EXPECT_EQ(server.waiting(), 0u);
+  await([&] { return disconnects == 1; });
+  pendingTransaction->answer(HttpReply::json(200, "nobody reads this"));
+  EXPECT_EQ(server.pendingRequests(), 0u);
 }
 
-TEST_F(AsyncHttp, TellsThatAClientHadGoneBeforeItsRequestWasRead)
+TEST_F(AsyncHttp, ReportsAClientThatDisconnectedBeforeItsRequestWasRead)
 {
   net::io_context other;
   net::ip::tcp::socket client(other);
@@ -143,65 +143,66 @@
              net::buffer(std::string("POST /wait HTTP/1.1\r\nHost: x\r\n"
                                      "Content-Length: 2\r\n\r\n{}")));
   client.close();
-  await([&] { return waiting != nullptr; });
-  await([&] { return gone == 1; });
+  await([&] { return pendingTransaction != nullptr; });
+  await([&] { return disconnects == 1; });
 }
 
-TEST_F(AsyncHttp, WhatCouldNotBeConnectedWasNotSent)
+TEST_F(AsyncHttp, ACallWithoutAConnectionIsNotSent)
 {
   server.stop();
-  HttpChannelPool pool(context, address, 4);
+  AsyncHttpConnectionPool pool(context, address, 4);
   EXPECT_EQ(call(pool, "/a", "").kind, HttpCallEnd::Kind::NotSent);
 }
 
-TEST_F(AsyncHttp, ClosesAfterAnswersWhenItIsToEnd)
+TEST_F(AsyncHttp, ClosesConnectionsAfterReplies)
 {
-  HttpChannelPool pool(context, address, 4);
-  server.closeAfterAnswers();
+  AsyncHttpConnectionPool pool(context, address, 4);
+  server.closeConnectionsAfterReplies();
   EXPECT_EQ(call(pool, "/a", "one").body, "one");
   pool.expire(steadyNow());
   EXPECT_EQ(pool.size(), 0u);
   EXPECT_EQ(call(pool, "/b", "two").body, "two") << "on a new connection";
 }
 
-TEST_F(AsyncHttp, AReplyMayEndItsConnection)
+TEST_F(AsyncHttp, AReplyMayCloseItsConnection)
 {
-  HttpChannelPool pool(context, address, 4);
+  AsyncHttpConnectionPool pool(context, address, 4);
   EXPECT_EQ(call(pool, "/close", "one").status, 503u);
   pool.expire(steadyNow());
   EXPECT_EQ(pool.size(), 0u);
 }
 
-TEST_F(AsyncHttp, StoppingClosesIdleConnectionsAndLetsOthersBeAnswered)
+TEST_F(AsyncHttp, StoppingClosesIdleConnectionsAndAnswersPendingRequests)
 {
-  HttpChannelPool pool(context, address, 4);
+  AsyncHttpConnectionPool pool(context, address, 4);
   std::optional<HttpCallEnd> end;
   HttpCallOrder order;
   order.target = "/wait";
   pool.call(order, steadyNow() + seconds(20), [&](const HttpCallEnd& value) {
     end = value;
   });
-  await([&] { return waiting != nullptr; });
+  await([&] { return pendingTransaction != nullptr; });
   server.stop();
-  waiting->answer(HttpReply::json(200, "done"));
+  pendingTransaction->answer(HttpReply::json(200, "done"));
   await([&] { return end.has_value(); });
   EXPECT_EQ(end->body, "done");
 }
 
-TEST_F(AsyncHttp, ATooLargeRequestIsRefused)
+TEST_F(AsyncHttp, ATooLargeRequestIsRejected)
 {
-  HttpChannelPool pool(context, address, 4);
+  AsyncHttpConnectionPool pool(context, address, 4);
   const HttpCallEnd end = call(pool, "/a", std::string(300000, 'x'));
-  // The server may close before the whole body was written.
-  const bool isRefused =
+  // The server may close the connection before the client has sent the whole
+  // body.
+  const bool isRejected =
     end.kind == HttpCallEnd::Kind::Unanswered || end.status == 413;
-  EXPECT_TRUE(isRefused);
+  EXPECT_TRUE(isRejected);
   EXPECT_TRUE(requests.empty());
 }
 
-TEST_F(AsyncHttp, MoreCallsThanAllowedAreNotSent)
+TEST_F(AsyncHttp, CallsBeyondTheConnectionLimitAreNotSent)
 {
-  HttpChannelPool pool(context, address, 1);
+  AsyncHttpConnectionPool pool(context, address, 1);
   HttpCallOrder order;
   order.target = "/wait";
   pool.call(order, steadyNow() + seconds(20), [](const HttpCallEnd&) {});
--- a/tests/asynchttp/slowresponse_test.cpp
+++ b/tests/asynchttp/slowresponse_test.cpp
@@ -17,8 +17,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A page of newest records, as the store sends it.
-const std::string answer = [] {
+/// The store's response with a page of newest records.
+const std::string response = [] {
   const std::string body =
     R"({"items":[{"key":"config","value":"eHh4eHh4eHh4eHh4","offset":0}],)"
     R"("has_more":false,"end":1})";
@@ -26,30 +26,30 @@
          "\r\n\r\n" + body;
 }();
 
-/// A store that sends its answers in pieces, when the test says so. Times are
-/// told to the follower and not waited for.
-class SlowAnswer : public ::testing::Test
+/// A store that sends its response in parts as the test calls for them. The
+/// reader's clock is advanced by the test, without waiting.
+class SlowResponse : public ::testing::Test
 {
 protected:
-  SlowAnswer()
+  SlowResponse()
     : acceptor(context, { net::ip::make_address("127.0.0.1"), 0 })
   {
     accept();
-    StoreFollower::Hooks hooks;
-    hooks.snapshot = [this](const auto& records, std::uint64_t) {
+    TopicReader::Hooks hooks;
+    hooks.onSnapshot = [this](const auto& records, std::uint64_t) {
       snapshot = records;
     };
-    hooks.record = [](const auto&, const auto&) {};
-    hooks.caughtUp = [](std::uint64_t) {};
-    hooks.reachable = [](bool) {};
-    follower = std::make_unique<StoreFollower>(
+    hooks.onRecord = [](const auto&, const auto&) {};
+    hooks.onBatchRead = [](std::uint64_t) {};
+    hooks.onReachableChanged = [](bool) {};
+    topicReader = std::make_unique<TopicReader>(
       context,
       Address("127.0.0.1", acceptor.local_endpoint().port()),
       "keyed.op",
       Duration::zero(),
       hooks);
     startedAt = steadyNow();
-    follower->start();
+    topicReader->start();
     const TimePoint limit = steadyNow() + seconds(20);
     while (connections.empty() || connections[0]->request.size() == 0) {
       if (steadyNow() > limit)
@@ -60,8 +60,8 @@
 
   struct Connection
   {
-    explicit Connection(net::ip::tcp::socket accepted)
-      : socket(std::move(accepted))
+    explicit Connection(net::ip::tcp::socket acceptedSocket)
+      : socket(std::move(acceptedSocket))
     {
     }
 
@@ -71,32 +71,35 @@
 
   void accept()
   {
-    acceptor.async_accept([this](auto error, net::ip::tcp::socket accepted) {
-      if (error)
-        return;
-      const auto connection = std::make_shared<Connection>(std::move(accepted));
-      connections.push_back(connection);
-      net::async_read_until(connection->socket,
-                            connection->request,
-                            "\r\n\r\n",
-                            [connection](auto, std::size_t) {});
-      accept();
-    });
+    acceptor.async_accept(
+      [this](auto error, net::ip::tcp::socket acceptedSocket) {
+        if (error)
+          return;
+        const auto connection =
+          std::make_shared<Connection>(std::move(acceptedSocket));
+        connections.push_back(connection);
+        net::async_read_until(connection->socket,
+                              connection->request,
+                              "\r\n\r\n",
+                              [connection](auto, std::size_t) {});
+        accept();
+      });
   }
 
-  /// Sends a part of the answer over the first connection. The client has read
-  /// it when this returns: it is on the same thread.
+  /// Sends a part of the response over the first connection. The reader, which
+  /// is on the same thread, has received it when this returns.
   void sendPart(std::size_t from, std::size_t bytes)
   {
-    net::write(connections[0]->socket, net::buffer(answer.substr(from, bytes)));
+    net::write(connections[0]->socket,
+               net::buffer(response.substr(from, bytes)));
     while (context.poll() > 0) {
     }
   }
 
-  /// Lets time pass for the follower, and what comes of it happen.
-  void passTo(Duration sinceStart)
+  /// Advances the reader's clock and runs what is due by then.
+  void advanceTo(Duration sinceStart)
   {
-    follower->tick(startedAt + sinceStart);
+    topicReader->tick(startedAt + sinceStart);
     while (context.poll() > 0) {
     }
   }
@@ -105,55 +108,56 @@
   net::ip::tcp::acceptor acceptor;
   std::vector<std::shared_ptr<Connection>> connections;
   std::optional<std::map<std::string, std::string>> snapshot;
-  std::unique_ptr<StoreFollower> follower;
+  std::unique_ptr<TopicReader> topicReader;
   TimePoint startedAt{};
 };
 
-/// The time of a read of the store ran to the end of the answer, so that one
-/// which was still coming over a busy link was given up and begun again: a
-/// daemon's link carried 1 to 4.5 MB a second while it noted `store-lost` and
-/// never `store-reached`, for 40 s.
-TEST_F(SlowAnswer, IsWaitedForAsLongAsItKeepsComing)
+/// Guards against a timeout that applies to the whole response: a response that
+/// was still being received over a busy link was aborted and requested again. A
+/// daemon's link carried 1 to 4.5 MB a second for 40 s, while the daemon logged
+/// `store-lost` and never `store-reached`.
+TEST_F(SlowResponse, IsReceivedAsLongAsItDoesNotPause)
 {
-  const std::size_t part = answer.size() / 20 + 1;
+  const std::size_t part = response.size() / 20 + 1;
   Duration passed = Duration::zero();
-  for (std::size_t sent = 0; sent < answer.size(); sent += part) {
+  for (std::size_t sent = 0; sent < response.size(); sent += part) {
     EXPECT_FALSE(snapshot);
     sendPart(sent, part);
     passed += milliseconds(300);
-    passTo(passed);
+    advanceTo(passed);
   }
   ASSERT_TRUE(snapshot);
   EXPECT_EQ(snapshot->at("config"), "xxxxxxxxxxxx");
 }
 
-/// All daemons that start together read the configuration at once. While an
-/// answer is coming, a second read of the same takes its share of the link.
-TEST_F(SlowAnswer, IsNotAskedForAgainWhileItComes)
+/// Daemons that start together read the configuration at the same time. A
+/// second read while a response is being received takes a share of the link
+/// from it.
+TEST_F(SlowResponse, IsNotRequestedAgainWhileItIsReceived)
 {
   for (std::size_t sent = 0; sent < 10; ++sent) {
     sendPart(sent, 1);
-    passTo(milliseconds(100 * (sent + 1)));
+    advanceTo(milliseconds(100 * (sent + 1)));
   }
   EXPECT_EQ(connections.size(), 1u);
 }
 
-TEST_F(SlowAnswer, IsGivenUpWhenItStopsComing)
+TEST_F(SlowResponse, TimesOutWhenItPauses)
 {
-  sendPart(0, answer.size() / 2);
-  passTo(milliseconds(100));
+  sendPart(0, response.size() / 2);
+  advanceTo(milliseconds(100));
   EXPECT_EQ(connections.size(), 1u);
-  passTo(milliseconds(900));
+  advanceTo(milliseconds(900));
   EXPECT_GE(connections.size(), 2u);
 }
 
-TEST_F(SlowAnswer, IsGivenUpInTheEnd)
+TEST_F(SlowResponse, TimesOutAfterTheMaximumExtension)
 {
   Duration passed = Duration::zero();
   for (std::size_t sent = 0; sent < 100 && connections.size() < 2; ++sent) {
     sendPart(sent, 1);
     passed += milliseconds(500);
-    passTo(passed);
+    advanceTo(passed);
   }
   EXPECT_GE(connections.size(), 2u);
 }
--- a/tests/asynchttp/topicreader_test.cpp
+++ b/tests/asynchttp/topicreader_test.cpp
@@ -1,5 +1,5 @@
-#include "platform/topicreader.h"
 #include "platform/storerecord.h"
+#include "platform/topicreader.h"
 
 #include <gtest/gtest.h>
 
@@ -16,11 +16,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A store whose answers the test scripts; null stands for none at all.
-class StoreFollowerTest : public ::testing::Test
+/// A store that sends the responses in `script`, one for each request. For an
+/// empty one, and after the last, it sends none.
+class TopicReaderTest : public ::testing::Test
 {
 protected:
-  StoreFollowerTest()
+  TopicReaderTest()
     : server(context,
              AsyncHttpServer::Settings(),
              [this](const HttpRequest& request,
@@ -33,17 +34,17 @@
     const Address address("127.0.0.1", probe.local_endpoint().port());
     probe.close();
     EXPECT_EQ(server.listen(address), std::nullopt);
-    StoreFollower::Hooks hooks;
-    hooks.snapshot = [this](const auto& records, std::uint64_t end) {
+    TopicReader::Hooks hooks;
+    hooks.onSnapshot = [this](const auto& records, std::uint64_t end) {
       snapshots.push_back(records);
       ends.push_back(end);
     };
-    hooks.record = [this](const auto& key, const auto& value) {
+    hooks.onRecord = [this](const auto& key, const auto& value) {
       records.emplace_back(key, value);
     };
-    hooks.caughtUp = [this](std::uint64_t end) { ends.push_back(end); };
-    hooks.reachable = [this](bool is) { reachable.push_back(is); };
-    follower = std::make_unique<StoreFollower>(
+    hooks.onBatchRead = [this](std::uint64_t end) { ends.push_back(end); };
+    hooks.onReachableChanged = [this](bool is) { reachable.push_back(is); };
+    topicReader = std::make_unique<TopicReader>(
       context, address, "keyed.op", Duration::zero(), hooks);
   }
 
@@ -51,7 +52,7 @@
              const std::shared_ptr<HttpTransaction>& transaction)
   {
     requests.push_back(request.path() + '?' + request.query());
-    held.push_back(transaction);
+    transactions.push_back(transaction);
     if (script.empty())
       return;
     const std::optional<HttpReply> reply = script.front();
@@ -68,10 +69,10 @@
     return text;
   }
 
-  static HttpReply newest(const std::string& key,
-                          const std::string& value,
-                          int end,
-                          bool hasMore = false)
+  static HttpReply snapshotPage(const std::string& key,
+                                const std::string& value,
+                                int end,
+                                bool hasMore = false)
   {
     return HttpReply::json(200,
                            R"({"items":[{"key":")" + key + R"(","value":")" +
@@ -80,7 +81,7 @@
                              std::to_string(end) + "}");
   }
 
-  static HttpReply read(const std::string& records)
+  static HttpReply appendedRecords(const std::string& records)
   {
     HttpReply::Fields reply;
     reply.body = std::string(16, '\0') + records;
@@ -95,7 +96,7 @@
       ASSERT_LT(steadyNow(), limit);
       context.run_one_for(milliseconds(10));
       context.restart();
-      follower->tick(steadyNow());
+      topicReader->tick(steadyNow());
     }
   }
 
@@ -103,22 +104,22 @@
   AsyncHttpServer server;
   std::deque<std::optional<HttpReply>> script;
   std::vector<std::string> requests;
-  std::vector<std::shared_ptr<HttpTransaction>> held;
+  std::vector<std::shared_ptr<HttpTransaction>> transactions;
   std::vector<std::map<std::string, std::string>> snapshots;
   std::vector<std::pair<std::string, std::optional<std::string>>> records;
-  /// How far was read, as told after each answer.
+  /// The end offset after each response.
   std::vector<std::uint64_t> ends;
   std::vector<bool> reachable;
-  std::unique_ptr<StoreFollower> follower;
+  std::unique_ptr<TopicReader> topicReader;
 };
 
-TEST_F(StoreFollowerTest, ReadsAllPagesAndGoesOnFromTheFirstPagesEnd)
+TEST_F(TopicReaderTest, ReadsAllPagesAndContinuesAtTheFirstPagesEnd)
 {
-  script = { newest("a", "1", 7, true),
-             newest("b", "2", 9),
-             read(renderStoreRecord({ "c", "3" }) +
-                  renderStoreRecord({ "a", std::nullopt })) };
-  follower->start();
+  script = { snapshotPage("a", "1", 7, true),
+             snapshotPage("b", "2", 9),
+             appendedRecords(encodeStoreRecord({ "c", "3" }) +
+                             encodeStoreRecord({ "a", std::nullopt })) };
+  topicReader->start();
   await([&] { return requests.size() >= 4; });
   ASSERT_EQ(snapshots.size(), 1u);
   EXPECT_EQ(snapshots[0],
@@ -132,107 +133,108 @@
   EXPECT_EQ(ends, (std::vector<std::uint64_t>{ 7, 9 }));
 }
 
-TEST_F(StoreFollowerTest, WhatAnotherHasToldIsNotReadAgain)
+TEST_F(TopicReaderTest, RecordsRelayedByAPeerAreNotReadAgain)
 {
-  script = { newest("a", "1", 7, false), std::nullopt };
-  follower->start();
+  script = { snapshotPage("a", "1", 7, false), std::nullopt };
+  topicReader->start();
   await([&] { return requests.size() >= 2; });
-  follower->skipTo(8);
-  held.back()->answer(read(renderStoreRecord({ "a", "2" })));
+  topicReader->skipTo(8);
+  transactions.back()->answer(appendedRecords(encodeStoreRecord({ "a", "2" })));
   await([&] { return requests.size() >= 3; });
-  EXPECT_TRUE(records.empty()) << "the answer is older than what was told";
+  EXPECT_TRUE(records.empty())
+    << "the response is older than what the peer has relayed";
   EXPECT_NE(requests[2].find("from=8"), std::string::npos);
 }
 
-TEST_F(StoreFollowerTest, ReadsNothingWhileAnotherReadsInItsPlace)
+TEST_F(TopicReaderTest, ReadsNothingWhilePaused)
 {
-  script = { newest("a", "1", 7, false),
-             read(renderStoreRecord({ "a", "2" })) };
-  follower->setPaused(true);
-  follower->start();
+  script = { snapshotPage("a", "1", 7, false),
+             appendedRecords(encodeStoreRecord({ "a", "2" })) };
+  topicReader->setPaused(true);
+  topicReader->start();
   await([&] { return ends.size() >= 2; });
   for (int i = 0; i < 5; ++i)
-    follower->tick(steadyNow() + seconds(10));
+    topicReader->tick(steadyNow() + seconds(10));
   EXPECT_EQ(requests.size(), 2u);
-  follower->setPaused(false);
+  topicReader->setPaused(false);
   await([&] { return requests.size() >= 3; });
   EXPECT_NE(requests[2].find("from=8"), std::string::npos);
 }
 
-/// A first answer that is no good, after which the follower must read again.
-struct BadAnswer
+/// A first response with which the read fails; the reader must read again.
+struct FailedResponse
 {
   const char* name;
   std::optional<HttpReply> reply;
 };
 
-class BadFirstAnswer
-  : public StoreFollowerTest
-  , public ::testing::WithParamInterface<BadAnswer>
+class FailedFirstResponse
+  : public TopicReaderTest
+  , public ::testing::WithParamInterface<FailedResponse>
 {};
 
-TEST_P(BadFirstAnswer, IsReadAgain)
+TEST_P(FailedFirstResponse, IsReadAgain)
 {
-  script = { GetParam().reply, newest("a", "1", 1) };
-  follower->start();
+  script = { GetParam().reply, snapshotPage("a", "1", 1) };
+  topicReader->start();
   await([&] { return !snapshots.empty(); });
   EXPECT_EQ(snapshots[0].at("a"), "1");
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Faults,
-  BadFirstAnswer,
-  ::testing::Values(BadAnswer{ "Unavailable", HttpReply::json(503, "{}") },
-                    BadAnswer{ "TooMany", HttpReply::json(429, "{}") },
-                    BadAnswer{ "NotJson", HttpReply::json(200, "{") },
-                    BadAnswer{ "WithoutItems",
-                               HttpReply::json(200, R"({"end":1})") },
-                    BadAnswer{ "Silence", std::nullopt }),
+  FailedFirstResponse,
+  ::testing::Values(FailedResponse{ "Unavailable", HttpReply::json(503, "{}") },
+                    FailedResponse{ "TooMany", HttpReply::json(429, "{}") },
+                    FailedResponse{ "NotJson", HttpReply::json(200, "{") },
+                    FailedResponse{ "WithoutItems",
+                                    HttpReply::json(200, R"({"end":1})") },
+                    FailedResponse{ "Silence", std::nullopt }),
   [](const auto& info) { return std::string(info.param.name); });
 
-TEST_F(StoreFollowerTest, ReadsAllAgainWhenTheStoreHasDroppedWhatItMissed)
+TEST_F(TopicReaderTest, ReadsANewSnapshotWhenTheStoreHasDroppedRecords)
 {
-  script = { newest("a", "1", 1),
+  script = { snapshotPage("a", "1", 1),
              HttpReply::json(410, R"({"first":9})"),
-             newest("a", "2", 9) };
-  follower->start();
+             snapshotPage("a", "2", 9) };
+  topicReader->start();
   await([&] { return snapshots.size() == 2; });
   EXPECT_EQ(snapshots[1].at("a"), "2");
 }
 
-TEST_F(StoreFollowerTest, ASilentConnectionIsReplacedAndReadingGoesOn)
+TEST_F(TopicReaderTest, ABrokenConnectionIsReplacedAndReadingContinues)
 {
-  script = { newest("a", "1", 1),
+  script = { snapshotPage("a", "1", 1),
              std::nullopt,
-             read(renderStoreRecord({ "a", "2" })) };
-  follower->start();
+             appendedRecords(encodeStoreRecord({ "a", "2" })) };
+  topicReader->start();
   await([&] { return !records.empty(); });
   EXPECT_EQ(records[0].second, "2");
   EXPECT_EQ(reachable, (std::vector<bool>{ true, false, true }));
 }
 
-TEST_F(StoreFollowerTest, ASilentFirstReadGetsAnotherBesideIt)
+TEST_F(TopicReaderTest, AnUnansweredFirstReadIsFollowedByAParallelOne)
 {
-  int gone = 0;
-  script = { std::nullopt, newest("a", "1", 1) };
-  follower->start();
-  await([&] { return held.size() == 1; });
-  held[0]->onClientGone([&] { ++gone; });
+  int disconnects = 0;
+  script = { std::nullopt, snapshotPage("a", "1", 1) };
+  topicReader->start();
+  await([&] { return transactions.size() == 1; });
+  transactions[0]->onClientDisconnected([&] { ++disconnects; });
   await([&] { return !snapshots.empty(); });
-  EXPECT_EQ(gone, 0) << "the first is waited for as well";
-  held[0]->answer(newest("a", "0", 0));
+  EXPECT_EQ(disconnects, 0) << "the first call is still in progress";
+  transactions[0]->answer(snapshotPage("a", "0", 0));
   await([&] { return requests.size() >= 3; });
-  EXPECT_EQ(snapshots.size(), 1u) << "what comes after the first is not heeded";
+  EXPECT_EQ(snapshots.size(), 1u) << "the later response is ignored";
   EXPECT_NE(requests[2].find("from=1"), std::string::npos);
 }
 
-TEST_F(StoreFollowerTest, RecordsThatAreCutShortAreReadAgain)
+TEST_F(TopicReaderTest, TruncatedRecordsAreReadAgain)
 {
-  const std::string whole = renderStoreRecord({ "a", "2" });
-  script = { newest("a", "1", 1),
-             read(whole.substr(0, whole.size() - 1)),
-             read(whole) };
-  follower->start();
+  const std::string whole = encodeStoreRecord({ "a", "2" });
+  script = { snapshotPage("a", "1", 1),
+             appendedRecords(whole.substr(0, whole.size() - 1)),
+             appendedRecords(whole) };
+  topicReader->start();
   await([&] { return !records.empty(); });
   EXPECT_EQ(records[0].second, "2");
 }
--- a/tests/platformadapter/evacuationrequests_test.cpp
+++ b/tests/platformadapter/evacuationrequests_test.cpp
@@ -7,33 +7,33 @@
 
 using Zones = std::set<ZoneName>;
 
-TEST(EvacuationEntries, HoldUntilTheRecordIsRemoved)
+TEST(EvacuationRequests, AreKeptUntilTheRecordIsRemoved)
 {
-  EvacuationEntries entries;
-  entries.read("evacuate/z1", "{}");
-  entries.read("evacuate/z2", "{}");
-  entries.read("evacuate/z1", R"({"note":"again"})");
-  EXPECT_EQ(entries.zones(), (Zones{ ZoneName("z1"), ZoneName("z2") }));
-  entries.read("evacuate/z1", std::nullopt);
-  EXPECT_EQ(entries.zones(), (Zones{ ZoneName("z2") }));
+  EvacuationRequests requests;
+  requests.apply("evacuate/z1", "{}");
+  requests.apply("evacuate/z2", "{}");
+  requests.apply("evacuate/z1", R"({"note":"again"})");
+  EXPECT_EQ(requests.zones(), (Zones{ ZoneName("z1"), ZoneName("z2") }));
+  requests.apply("evacuate/z1", std::nullopt);
+  EXPECT_EQ(requests.zones(), (Zones{ ZoneName("z2") }));
 }
 
-TEST(EvacuationEntries, OfAWholeReadReplaceWhatWasKnown)
+TEST(EvacuationRequests, AFullReadReplacesAllRequests)
 {
-  EvacuationEntries entries;
-  entries.read("evacuate/z1", "{}");
-  entries.readAll({ { "config", "{}" }, { "evacuate/z2", "{}" } });
-  EXPECT_EQ(entries.zones(), (Zones{ ZoneName("z2") }));
-  entries.readAll({ { "config", "{}" } });
-  EXPECT_TRUE(entries.zones().empty());
+  EvacuationRequests requests;
+  requests.apply("evacuate/z1", "{}");
+  requests.replaceAll({ { "config", "{}" }, { "evacuate/z2", "{}" } });
+  EXPECT_EQ(requests.zones(), (Zones{ ZoneName("z2") }));
+  requests.replaceAll({ { "config", "{}" } });
+  EXPECT_TRUE(requests.zones().empty());
 }
 
-TEST(EvacuationEntries, OtherKeysAndThoseWithoutAZoneAreIgnored)
+TEST(EvacuationRequests, RecordsWithOtherKeysOrWithoutAZoneAreIgnored)
 {
-  EvacuationEntries entries;
+  EvacuationRequests requests;
   for (const char* key : { "config", "wave/1", "evacuate", "evacuate/" })
-    entries.read(key, "{}");
-  EXPECT_TRUE(entries.zones().empty());
+    requests.apply(key, "{}");
+  EXPECT_TRUE(requests.zones().empty());
 }
 
 } // namespace
--- a/tests/platformadapter/options_test.cpp
+++ b/tests/platformadapter/options_test.cpp
@@ -14,17 +14,17 @@
   return readOptions(static_cast<int>(arguments.size()), arguments.data());
 }
 
-TEST(PlatformOptions, HaveDefaultsForAll)
+TEST(PlatformOptions, AllHaveDefaults)
 {
   const auto options = read({});
   ASSERT_TRUE(options);
   EXPECT_EQ(options->operatorPort, 0);
   EXPECT_EQ(options->peerListenHost, "");
   EXPECT_EQ(options->eventsPerSecond, 400u);
-  EXPECT_FALSE(options->isHelp);
+  EXPECT_FALSE(options->isHelpRequested);
 }
 
-TEST(PlatformOptions, AFlagWinsOverItsVariable)
+TEST(PlatformOptions, AFlagTakesPrecedenceOverItsVariable)
 {
   setenv("COWSLIPPIN_PEER_LISTEN_HOST", "127.0.2.1", 1);
   const auto fromVariable = read({});
@@ -36,38 +36,38 @@
   EXPECT_EQ(fromFlag->peerListenHost, "127.0.2.2");
 }
 
-struct BadOption
+struct InvalidOption
 {
   const char* flag;
   const char* value;
 };
 
-class BadOptions : public ::testing::TestWithParam<BadOption>
+class InvalidOptions : public ::testing::TestWithParam<InvalidOption>
 {};
 
-TEST_P(BadOptions, AreNamedWithTheirValueAndWhatIsAllowed)
+TEST_P(InvalidOptions, TheProblemNamesTheOptionAndItsValue)
 {
-  const BadOption& bad = GetParam();
-  const std::string flag = std::string("--") + bad.flag;
-  const auto options = read({ flag.c_str(), bad.value });
+  const InvalidOption& invalid = GetParam();
+  const std::string flag = std::string("--") + invalid.flag;
+  const auto options = read({ flag.c_str(), invalid.value });
   ASSERT_FALSE(options);
   const std::string detail = options.error().detail();
-  EXPECT_NE(detail.find(bad.flag), std::string::npos) << detail;
-  EXPECT_NE(detail.find(bad.value), std::string::npos) << detail;
+  EXPECT_NE(detail.find(invalid.flag), std::string::npos) << detail;
+  EXPECT_NE(detail.find(invalid.value), std::string::npos) << detail;
 }
 
 INSTANTIATE_TEST_SUITE_P(
   All,
-  BadOptions,
-  ::testing::Values(BadOption{ "operator-port", "65536" },
-                    BadOption{ "operator-port", "80x" },
-                    BadOption{ "operator-port", "-1" },
-                    BadOption{ "peer-listen-host", "edge-1.example" },
-                    BadOption{ "peer-listen-host", "127.0.0.1:80" },
-                    BadOption{ "events-per-second", "0" },
-                    BadOption{ "log-level", "loud" }));
+  InvalidOptions,
+  ::testing::Values(InvalidOption{ "operator-port", "65536" },
+                    InvalidOption{ "operator-port", "80x" },
+                    InvalidOption{ "operator-port", "-1" },
+                    InvalidOption{ "peer-listen-host", "edge-1.example" },
+                    InvalidOption{ "peer-listen-host", "127.0.0.1:80" },
+                    InvalidOption{ "events-per-second", "0" },
+                    InvalidOption{ "log-level", "loud" }));
 
-TEST(PlatformOptions, AFlagThatDoesNotExistIsRefused)
+TEST(PlatformOptions, AnUnknownFlagIsRejected)
 {
   const auto options = read({ "--peer-host", "127.0.0.1" });
   ASSERT_FALSE(options);
--- a/tests/platformadapter/records_test.cpp
+++ b/tests/platformadapter/records_test.cpp
@@ -1,7 +1,7 @@
 #include "platform/daemonentries.h"
+#include "platform/platformdecoders.h"
 #include "platform/platformsettings.h"
 #include "platform/storerecord.h"
-#include "platform/platformdecoders.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -20,7 +20,7 @@
   "limits": {"cpu_share": 0.25, "cores": 2, "link_mbps": 25},
   "bounds": {"grace_s": 4.5}})";
 
-TEST(PlatformSettings, ReadsWhatItNeedsAndIgnoresTheRest)
+TEST(PlatformSettings, ReadsKnownFieldsAndIgnoresOthers)
 {
   const auto settings = readPlatformSettings(settingsText);
   ASSERT_TRUE(settings) << settings.error().detail();
@@ -31,13 +31,14 @@
   EXPECT_EQ(settings->daemon.peerAddress, Address("10.1.0.13", 7720));
   EXPECT_EQ(settings->daemon.seeds,
             std::vector<Address>{ Address("10.2.0.30", 7720) });
-  EXPECT_EQ(settings->callers, Address("10.1.0.13", 8161));
-  EXPECT_EQ(settings->readiness, Address("10.1.0.13", 8167));
-  EXPECT_EQ(settings->store, Address("10.200.1.7", 8169));
+  EXPECT_EQ(settings->callerAddress, Address("10.1.0.13", 8161));
+  EXPECT_EQ(settings->readinessAddress, Address("10.1.0.13", 8167));
+  EXPECT_EQ(settings->storeAddress, Address("10.200.1.7", 8169));
 }
 
-/// A settings text with one thing wrong, and the field that must be named.
-struct WrongSetting
+/// A replacement that makes one field of a text invalid, and the name of the
+/// field that the problem must contain.
+struct InvalidFieldCase
 {
   const char* name;
   const char* from;
@@ -45,10 +46,10 @@
   const char* field;
 };
 
-class WrongSettings : public ::testing::TestWithParam<WrongSetting>
+class InvalidSettings : public ::testing::TestWithParam<InvalidFieldCase>
 {};
 
-TEST_P(WrongSettings, AreRefusedNamingTheField)
+TEST_P(InvalidSettings, TheProblemNamesTheField)
 {
   std::string text = settingsText;
   const std::string from = GetParam().from;
@@ -61,18 +62,18 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Fields,
-  WrongSettings,
+  InvalidSettings,
   ::testing::Values(
-    WrongSetting{ "Name", "\"node_name\"", "\"other\"", "node_name" },
-    WrongSetting{ "Zone", "\"z1\"", "7", "zone" },
-    WrongSetting{ "Ports", "[7720, 7735]", "[]", "internal_ports" },
-    WrongSetting{ "Port", "[7720, 7735]", "[99999]", "internal_ports" },
-    WrongSetting{ "Callers", "10.1.0.13:8161", "nowhere", "frontend" },
-    WrongSetting{ "Store", "10.200.1.7:8169", "", "platform.address" },
-    WrongSetting{ "Link", "25}", "\"fast\"}", "limits.link_mbps" },
-    WrongSetting{ "Share", "0.25", "-1", "limits.cpu_share" },
-    WrongSetting{ "Grace", "4.5", "-1", "grace_s" },
-    WrongSetting{ "Whole", "{\n", "[", "settings file" }),
+    InvalidFieldCase{ "Name", "\"node_name\"", "\"other\"", "node_name" },
+    InvalidFieldCase{ "Zone", "\"z1\"", "7", "zone" },
+    InvalidFieldCase{ "Ports", "[7720, 7735]", "[]", "internal_ports" },
+    InvalidFieldCase{ "Port", "[7720, 7735]", "[99999]", "internal_ports" },
+    InvalidFieldCase{ "Callers", "10.1.0.13:8161", "nowhere", "frontend" },
+    InvalidFieldCase{ "Store", "10.200.1.7:8169", "", "platform.address" },
+    InvalidFieldCase{ "Link", "25}", "\"fast\"}", "limits.link_mbps" },
+    InvalidFieldCase{ "Share", "0.25", "-1", "limits.cpu_share" },
+    InvalidFieldCase{ "Grace", "4.5", "-1", "grace_s" },
+    InvalidFieldCase{ "Whole", "{\n", "[", "settings file" }),
   [](const auto& info) { return std::string(info.param.name); });
 
 TEST(Configuration, IsDecodedIntoRoutes)
@@ -99,7 +100,7 @@
   EXPECT_EQ(table->find("a.example", "/z/"), nullptr);
 }
 
-TEST(Configuration, ThatIsWrongIsAProblem)
+TEST(Configuration, AnInvalidOneIsAProblem)
 {
   EXPECT_FALSE(decodeConfiguration("{"));
   EXPECT_FALSE(decodeConfiguration(R"({"version":1})"));
@@ -121,8 +122,8 @@
   EXPECT_FALSE(decodeWorker("i-1", "{}"));
 }
 
-/// An entry of a worker with one thing wrong, and the field that must be named.
-class ForeignEntry : public ::testing::TestWithParam<WrongSetting>
+/// A worker's entry with one invalid field.
+class InvalidWorkerEntry : public ::testing::TestWithParam<InvalidFieldCase>
 {
 protected:
   static constexpr const char* entry =
@@ -132,14 +133,14 @@
     "born":1800000000123})";
 };
 
-TEST_F(ForeignEntry, TheEntryThatIsRightTellsTheBirth)
+TEST_F(InvalidWorkerEntry, TheValidEntryContainsTheBirth)
 {
   const auto worker = decodeWorker("i-1", entry);
   ASSERT_TRUE(worker);
   EXPECT_EQ(worker->birth(), WorkerBirth(1800000000123));
 }
 
-TEST_P(ForeignEntry, NamesNoWorker)
+TEST_P(InvalidWorkerEntry, IsAProblemThatNamesTheField)
 {
   ASSERT_TRUE(decodeWorker("i-1", entry));
   std::string text = entry;
@@ -153,50 +154,59 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Fields,
-  ForeignEntry,
+  InvalidWorkerEntry,
   ::testing::Values(
-    WrongSetting{ "BirthText", "1800000000123", "\"1800000000123\"", "born" },
-    WrongSetting{ "BirthFraction", "1800000000123", "1800000000123.5", "born" },
-    WrongSetting{ "BirthFloat", "1800000000123", "1800000000123.0", "born" },
-    WrongSetting{ "BirthNegative", "1800000000123", "-5", "born" },
-    WrongSetting{ "BirthNull", "1800000000123", "null", "born" },
-    WrongSetting{ "NoService", "\"backend\":", "\"other\":", "backend" },
-    WrongSetting{ "ServiceNumber", "\"booking\"", "7", "backend" },
-    WrongSetting{ "NoAddress", "\"address\":", "\"other\":", "address" },
-    WrongSetting{ "AddressList", "\"10.128.0.9:8080\"", "[]", "address" },
-    WrongSetting{ "AddressName", "10.128.0.9:8080", "nowhere", "address" },
-    WrongSetting{ "NoZone", "\"zone\":", "\"other\":", "zone" },
-    WrongSetting{ "ZoneObject", "\"z1\"", "{}", "zone" },
-    WrongSetting{ "EmptyZone", "\"z1\"", "\"\"", "zone" },
-    WrongSetting{ "NoState", "\"state\":", "\"other\":", "state" },
-    WrongSetting{ "UnknownState", "\"ready\"", "\"napping\"", "state" },
-    WrongSetting{ "StateNull", "\"ready\"", "null", "state" },
-    WrongSetting{ "NoCapacity", "\"capacity\":", "\"other\":", "capacity" },
-    WrongSetting{ "NoProcessors", "\"cpu\":", "\"other\":", "cpu" },
-    WrongSetting{ "ProcessorText", "16000", "\"16000\"", "cpu" },
-    WrongSetting{ "NegativeProcessors", "16000", "-16000", "cpu" },
-    WrongSetting{ "HugeProcessors", "16000", "1e300", "cpu" },
-    WrongSetting{ "NoMemory", "\"mem_mb\":", "\"other\":", "mem_mb" },
-    WrongSetting{ "MemoryTrue", "32768", "true", "mem_mb" },
-    WrongSetting{ "AcceleratorText", "\"gpu\":0", "\"gpu\":\"0\"", "gpu" },
-    WrongSetting{ "LabelsText", "[\"a\"]", "\"a\"", "labels" },
-    WrongSetting{ "LabelNumber", "[\"a\"]", "[\"a\",1]", "labels" },
-    WrongSetting{ "SlotsText", "\"slots\":8", "\"slots\":\"8\"", "slots" },
-    WrongSetting{ "VersionNumber", "\"v1\"", "1", "version" },
-    WrongSetting{ "SequenceList", "\"seq\":4", "\"seq\":[4]", "seq" },
-    WrongSetting{ "NoObject", "{\"backend\"", "[{\"backend\"", "entry" },
-    WrongSetting{ "BytesThatAreNoText", "booking", "\xff\xfe", "entry" }),
+    InvalidFieldCase{ "BirthText",
+                      "1800000000123",
+                      "\"1800000000123\"",
+                      "born" },
+    InvalidFieldCase{ "BirthFraction",
+                      "1800000000123",
+                      "1800000000123.5",
+                      "born" },
+    InvalidFieldCase{ "BirthFloat",
+                      "1800000000123",
+                      "1800000000123.0",
+                      "born" },
+    InvalidFieldCase{ "BirthNegative", "1800000000123", "-5", "born" },
+    InvalidFieldCase{ "BirthNull", "1800000000123", "null", "born" },
+    InvalidFieldCase{ "NoService", "\"backend\":", "\"other\":", "backend" },
+    InvalidFieldCase{ "ServiceNumber", "\"booking\"", "7", "backend" },
+    InvalidFieldCase{ "NoAddress", "\"address\":", "\"other\":", "address" },
+    InvalidFieldCase{ "AddressList", "\"10.128.0.9:8080\"", "[]", "address" },
+    InvalidFieldCase{ "AddressName", "10.128.0.9:8080", "nowhere", "address" },
+    InvalidFieldCase{ "NoZone", "\"zone\":", "\"other\":", "zone" },
+    InvalidFieldCase{ "ZoneObject", "\"z1\"", "{}", "zone" },
+    InvalidFieldCase{ "EmptyZone", "\"z1\"", "\"\"", "zone" },
+    InvalidFieldCase{ "NoState", "\"state\":", "\"other\":", "state" },
+    InvalidFieldCase{ "UnknownState", "\"ready\"", "\"napping\"", "state" },
+    InvalidFieldCase{ "StateNull", "\"ready\"", "null", "state" },
+    InvalidFieldCase{ "NoCapacity", "\"capacity\":", "\"other\":", "capacity" },
+    InvalidFieldCase{ "NoProcessors", "\"cpu\":", "\"other\":", "cpu" },
+    InvalidFieldCase{ "ProcessorText", "16000", "\"16000\"", "cpu" },
+    InvalidFieldCase{ "NegativeProcessors", "16000", "-16000", "cpu" },
+    InvalidFieldCase{ "HugeProcessors", "16000", "1e300", "cpu" },
+    InvalidFieldCase{ "NoMemory", "\"mem_mb\":", "\"other\":", "mem_mb" },
+    InvalidFieldCase{ "MemoryTrue", "32768", "true", "mem_mb" },
+    InvalidFieldCase{ "AcceleratorText", "\"gpu\":0", "\"gpu\":\"0\"", "gpu" },
+    InvalidFieldCase{ "LabelsText", "[\"a\"]", "\"a\"", "labels" },
+    InvalidFieldCase{ "LabelNumber", "[\"a\"]", "[\"a\",1]", "labels" },
+    InvalidFieldCase{ "SlotsText", "\"slots\":8", "\"slots\":\"8\"", "slots" },
+    InvalidFieldCase{ "VersionNumber", "\"v1\"", "1", "version" },
+    InvalidFieldCase{ "SequenceList", "\"seq\":4", "\"seq\":[4]", "seq" },
+    InvalidFieldCase{ "NoObject", "{\"backend\"", "[{\"backend\"", "entry" },
+    InvalidFieldCase{ "BytesThatAreNoText", "booking", "\xff\xfe", "entry" }),
   [](const auto& info) { return std::string(info.param.name); });
 
-TEST(WorkerEntry, AnyBytesAreAWorkerOrAProblem)
+TEST(WorkerEntry, ArbitraryBytesDoNotThrow)
 {
   EXPECT_TRUE(
     rc::check([](const std::string& bytes) { decodeWorker("i-1", bytes); }));
 }
 
-TEST(OwnEntry, GoesThroughItsText)
+TEST(DaemonEntry, IsDecodedAsEncoded)
 {
-  const HolderEntry holder{
+  const ShardHolderEntry holder{
     VmId("vm-1"), ShardId(ZoneName("z1"), 1, 3), 300243599585797, 12
   };
   const auto read = decodeHolder(encodeHolder(holder));
@@ -204,14 +214,14 @@
   EXPECT_EQ(read->vm, holder.vm);
   EXPECT_EQ(read->shard, holder.shard);
   EXPECT_EQ(read->token, holder.token);
-  EXPECT_EQ(read->beat, holder.beat);
+  EXPECT_EQ(read->sequence, holder.sequence);
   const auto member =
     decodeMember(encodeMember({ VmId("vm-1"), Address("10.0.0.1", 7720) }));
   ASSERT_TRUE(member) << member.error().detail();
   EXPECT_EQ(member->address, Address("10.0.0.1", 7720));
 }
 
-TEST(OwnEntry, ThatAnotherHasWrittenIsAProblem)
+TEST(DaemonEntry, AnInvalidOneIsAProblem)
 {
   EXPECT_FALSE(decodeMember(R"({"vm":"a","host":7,"port":7720})"));
   EXPECT_FALSE(decodeMember(R"({"vm":"a","host":"h","port":99999})"));
@@ -227,9 +237,9 @@
   }));
 }
 
-TEST(NewestRecords, KeepWhatCanBeReadOfAPage)
+TEST(SnapshotPage, ReadableRecordsAreKept)
 {
-  const auto page = parseNewestRecords(
+  const auto page = parseSnapshotPage(
     R"({"items":[{"key":"a","value":"YQ==","offset":0},
     {"key":"b","value":"=!","offset":1},{"key":7,"value":"YQ=="},"c",
     {"key":"d"}],"has_more":false,"end":9})");
@@ -239,11 +249,10 @@
   EXPECT_EQ(page->records[0].value, "a");
   EXPECT_EQ(page->records[1].value, std::nullopt);
   EXPECT_EQ(page->records[2].key, "d");
-  EXPECT_FALSE(
-    parseNewestRecords(R"({"items":[],"end":"9","has_more":false})"));
-  EXPECT_FALSE(parseNewestRecords("[]"));
+  EXPECT_FALSE(parseSnapshotPage(R"({"items":[],"end":"9","has_more":false})"));
+  EXPECT_FALSE(parseSnapshotPage("[]"));
   EXPECT_TRUE(
-    rc::check([](const std::string& bytes) { parseNewestRecords(bytes); }));
+    rc::check([](const std::string& bytes) { parseSnapshotPage(bytes); }));
 }
 
 Route
@@ -271,10 +280,10 @@
   EXPECT_EQ(job->needs.maxPerWorker, 1u);
 }
 
-class UnservedJob : public ::testing::TestWithParam<const char*>
+class UnsupportedJob : public ::testing::TestWithParam<const char*>
 {};
 
-TEST_P(UnservedJob, IsATrueRefusal)
+TEST_P(UnsupportedJob, CanNeverRunAndHasNotRun)
 {
   const auto job = decodeJob("1", route(), GetParam());
   ASSERT_FALSE(job);
@@ -284,7 +293,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Kinds,
-  UnservedJob,
+  UnsupportedJob,
   ::testing::Values(
     R"({"spec":"","steps":[{"count":1}]})",
     R"({"spec":"","best_effort":true,"steps":[{"count":1},{"count":1}]})",
@@ -293,19 +302,19 @@
     R"({"spec":"","best_effort":true,"steps":[{"long_running":true}]})",
     R"({"spec":"","best_effort":true,"steps":[{"fills":true}]})"));
 
-TEST(Job, ThatIsWrongIsAProblemOfItsField)
+TEST(Job, AMissingFieldIsAProblem)
 {
   const auto job = decodeJob("1", route(), R"({"best_effort":true})");
   ASSERT_FALSE(job);
   EXPECT_EQ(job.error().kind(), ProblemKind::InvalidField);
 }
 
-TEST(StoreRecord, GoesThroughItsBytes)
+TEST(StoreRecord, IsParsedAsEncoded)
 {
   const std::string prefix(16, '\0');
   const auto records =
-    parseStoreRecords(prefix + renderStoreRecord({ "key", "value" }) +
-                      renderStoreRecord({ "dropped", std::nullopt }));
+    parseStoreRecords(prefix + encodeStoreRecord({ "key", "value" }) +
+                      encodeStoreRecord({ "dropped", std::nullopt }));
   ASSERT_TRUE(records);
   ASSERT_EQ(records->size(), 2u);
   EXPECT_EQ((*records)[0].key, "key");
@@ -314,31 +323,31 @@
   EXPECT_EQ((*records)[1].value, std::nullopt);
 }
 
-TEST(StoreRecord, CutAnywhereIsNoneOrFewer)
+TEST(StoreRecord, ATruncatedResponseHasNoRecord)
 {
   const std::string whole =
-    std::string(16, '\0') + renderStoreRecord({ "key", "value" });
+    std::string(16, '\0') + encodeStoreRecord({ "key", "value" });
   for (std::size_t length = 0; length < whole.size(); ++length) {
     const auto records = parseStoreRecords(whole.substr(0, length));
     EXPECT_TRUE(!records || records->empty()) << length;
   }
 }
 
-TEST(StoreRecord, ThatIsNoneOfItsKindLeavesTheOthers)
+TEST(StoreRecord, AnInvalidRecordDoesNotAffectOthers)
 {
   const std::string empty(4, '\0');
   const std::string keyTooLong = std::string("\0\0\0\2\x09k", 6);
   const auto records =
     parseStoreRecords(std::string(16, '\0') + empty + keyTooLong +
-                      renderStoreRecord({ "key", "value" }));
+                      encodeStoreRecord({ "key", "value" }));
   ASSERT_TRUE(records);
-  ASSERT_EQ(records->size(), 3u) << "offsets are counted";
+  ASSERT_EQ(records->size(), 3u) << "each record counts for the offset";
   EXPECT_EQ((*records)[0].key, "");
   EXPECT_EQ((*records)[1].key, "");
   EXPECT_EQ((*records)[2].value, "value");
 }
 
-TEST(StoreRecord, AnyBytesAreRead)
+TEST(StoreRecord, ArbitraryBytesDoNotThrow)
 {
   EXPECT_TRUE(
     rc::check([](const std::string& bytes) { parseStoreRecords(bytes); }));
--- a/tests/platformadapter/settingswatcher_test.cpp
+++ b/tests/platformadapter/settingswatcher_test.cpp
@@ -24,20 +24,20 @@
          grace + "}}";
 }
 
-/// A settings file in memory that is watched.
-class SettingsWatchTest : public ::testing::Test
+/// Watches a settings file in memory.
+class SettingsWatcherTest : public ::testing::Test
 {
 protected:
-  SettingsWatch::Hooks hooks()
+  SettingsWatcher::Hooks hooks()
   {
-    SettingsWatch::Hooks hooks;
+    SettingsWatcher::Hooks hooks;
     hooks.readFile = [this]() -> Result<std::string> {
       ++reads;
       if (!file)
         return failure(Problem::invalidField("file", "", "can be read"));
       return *file;
     };
-    hooks.changed = [this](const PlatformSettings& settings) {
+    hooks.onChanged = [this](const PlatformSettings& settings) {
       graces.push_back(settings.daemon.core.grace);
     };
     return hooks;
@@ -46,59 +46,59 @@
   std::optional<std::string> file = settingsFile("6");
   std::vector<Duration> graces;
   unsigned reads = 0;
-  SettingsWatch watch{ *readPlatformSettings(*file), *file, hooks() };
+  SettingsWatcher watcher{ *readPlatformSettings(*file), *file, hooks() };
   TimePoint now{ seconds(100) };
 };
 
-TEST_F(SettingsWatchTest, AFileThatIsAsBeforeChangesNothing)
+TEST_F(SettingsWatcherTest, AnUnchangedFileChangesNothing)
 {
-  watch.check();
+  watcher.reload();
   EXPECT_TRUE(graces.empty());
 }
 
-TEST_F(SettingsWatchTest, AChangeIsSeenWithinASecondWithoutASignal)
+TEST_F(SettingsWatcherTest, AChangeWithoutASignalIsAppliedWithinASecond)
 {
-  watch.tick(now);
+  watcher.tick(now);
   file = settingsFile("3");
-  watch.tick(now + milliseconds(500));
+  watcher.tick(now + milliseconds(500));
   EXPECT_TRUE(graces.empty());
-  watch.tick(now + milliseconds(1000));
+  watcher.tick(now + milliseconds(1000));
   EXPECT_EQ(graces, std::vector<Duration>{ seconds(3) });
   EXPECT_EQ(reads, 2u);
 }
 
-TEST_F(SettingsWatchTest, ASignalHasTheFileReadAtOnce)
+TEST_F(SettingsWatcherTest, ReloadReadsTheFileAtOnce)
 {
   file = settingsFile("3");
-  watch.check();
-  watch.check();
+  watcher.reload();
+  watcher.reload();
   EXPECT_EQ(graces, std::vector<Duration>{ seconds(3) });
 }
 
-TEST_F(SettingsWatchTest, AFileThatIsWrongChangesNothingUntilItIsMended)
+TEST_F(SettingsWatcherTest, AnInvalidFileChangesNothingUntilItIsCorrected)
 {
   for (const char* wrong : { "-1", "\"soon\"", "[" }) {
     file = settingsFile(wrong);
-    watch.check();
+    watcher.reload();
   }
   file.reset();
-  watch.check();
+  watcher.reload();
   EXPECT_TRUE(graces.empty());
   file = settingsFile("4");
-  watch.check();
+  watcher.reload();
   EXPECT_EQ(graces, std::vector<Duration>{ seconds(4) });
 }
 
-TEST_F(SettingsWatchTest, WhatCantBeChangedIsNamedAndTheRestIsPutInForce)
+TEST_F(SettingsWatcherTest, RestartOnlySettingsAreReportedAndTheRestIsApplied)
 {
   file = settingsFile("4", "z2");
-  const auto fixed = changedFixedSettings(
+  const auto restartOnly = changedRestartOnlySettings(
     *readPlatformSettings(settingsFile("6")), *readPlatformSettings(*file));
-  ASSERT_EQ(fixed.size(), 1u);
-  EXPECT_EQ(fixed[0].field, "zone");
-  EXPECT_EQ(fixed[0].inForce, "z1");
-  EXPECT_EQ(fixed[0].inFile, "z2");
-  watch.check();
+  ASSERT_EQ(restartOnly.size(), 1u);
+  EXPECT_EQ(restartOnly[0].field, "zone");
+  EXPECT_EQ(restartOnly[0].activeValue, "z1");
+  EXPECT_EQ(restartOnly[0].fileValue, "z2");
+  watcher.reload();
   EXPECT_EQ(graces, std::vector<Duration>{ seconds(4) });
 }
 
--- a/tests/platformadapter/workerdirectory_test.cpp
+++ b/tests/platformadapter/workerdirectory_test.cpp
@@ -19,11 +19,11 @@
          std::to_string(born) + "}";
 }
 
-/// A directory whose store has been within reach for long.
+/// A directory whose store has been reachable for long.
 class WorkerDirectoryTest : public ::testing::Test
 {
 protected:
-  WorkerDirectoryTest() { directory.read("w1", entry(5), now); }
+  WorkerDirectoryTest() { directory.update("w1", entry(5), now); }
 
   const WorkerRecord& worker() const
   {
@@ -34,52 +34,54 @@
   WorkerDirectory directory;
 };
 
-TEST_F(WorkerDirectoryTest, TakesTheEntryOfTheNextLife)
+TEST_F(WorkerDirectoryTest, AcceptsTheEntryOfARestartedWorker)
 {
-  directory.read("w1", entry(6, "10.1.0.10:8080"), now);
+  directory.update("w1", entry(6, "10.1.0.10:8080"), now);
   EXPECT_EQ(worker().birth(), WorkerBirth(6));
   EXPECT_EQ(worker().address(), Address("10.1.0.10", 8080));
 }
 
-TEST_F(WorkerDirectoryTest, IgnoresALateEntryOfAnEarlierLife)
+TEST_F(WorkerDirectoryTest, IgnoresALateEntryOfAnEarlierProcess)
 {
-  directory.read("w1", entry(4, "10.1.0.10:8080"), now + seconds(1));
+  directory.update("w1", entry(4, "10.1.0.10:8080"), now + seconds(1));
   EXPECT_EQ(worker().birth(), WorkerBirth(5));
   EXPECT_EQ(worker().address(), Address("10.1.0.9", 8080));
 }
 
-TEST_F(WorkerDirectoryTest, TakesAnEarlierBirthWhenTheOtherLifeHasFallenSilent)
+TEST_F(WorkerDirectoryTest,
+       AcceptsAnEarlierBirthWhenTheOtherProcessHasStoppedRenewing)
 {
   for (int i = 0; i < 5; ++i)
-    directory.read("w1", entry(4), now + milliseconds(1500 * i));
+    directory.update("w1", entry(4), now + milliseconds(1500 * i));
   EXPECT_EQ(worker().birth(), WorkerBirth(4))
-    << "its clock of day was set back";
+    << "the worker's clock was set back";
 }
 
-TEST_F(WorkerDirectoryTest, AnEntryThatIsRemovedNamesNoWorker)
+TEST_F(WorkerDirectoryTest, RemovesAWorkerWhoseEntryWasRemoved)
 {
-  directory.read("w1", "", now);
+  directory.update("w1", "", now);
   EXPECT_TRUE(directory.workers().empty());
 }
 
-TEST_F(WorkerDirectoryTest, KeepsWorkersThatLapsedWhileTheStoreWasAway)
+TEST_F(WorkerDirectoryTest, KeepsWorkersWhoseEntriesExpiredInAStoreOutage)
 {
-  directory.read("w2", entry(5), now);
-  directory.storeReached(now);
-  directory.readAll({}, now + milliseconds(10));
+  directory.update("w2", entry(5), now);
+  directory.noteStoreReachable(now);
+  directory.replaceAll({}, now + milliseconds(10));
   EXPECT_EQ(directory.workers().size(), 2u);
-  directory.read("w1", entry(5), now + seconds(2));
-  directory.takeChange();
+  directory.update("w1", entry(5), now + seconds(2));
+  directory.takeChangedFlag();
   directory.tick(now + milliseconds(2400));
-  EXPECT_FALSE(directory.takeChange());
+  EXPECT_FALSE(directory.takeChangedFlag());
   directory.tick(now + milliseconds(2600));
-  EXPECT_TRUE(directory.takeChange());
+  EXPECT_TRUE(directory.takeChangedFlag());
   ASSERT_EQ(directory.workers().size(), 1u);
   EXPECT_EQ(worker().id(), WorkerId("w1"));
 }
 
-/// Three thousand workers renew their entries every second and a half.
-TEST_F(WorkerDirectoryTest, ARenewalIsNoChange)
+/// 3000 workers renew their entries every 1.5 s. Each renewal that
+/// counted as a change would be decoded and relayed to all peers.
+TEST_F(WorkerDirectoryTest, ARenewalIsNotAChange)
 {
   const auto renewed = [](int sequence, const std::string& state) {
     std::string text = entry(5);
@@ -88,53 +90,53 @@
                   state + "\"],");
     return text;
   };
-  directory.read("w1", renewed(9, "a"), now);
-  EXPECT_TRUE(directory.takeChange());
-  EXPECT_FALSE(directory.takeChange());
+  directory.update("w1", renewed(9, "a"), now);
+  EXPECT_TRUE(directory.takeChangedFlag());
+  EXPECT_FALSE(directory.takeChangedFlag());
   for (int sequence = 10; sequence < 13; ++sequence)
-    directory.read("w1", renewed(sequence, "a"), now);
-  EXPECT_FALSE(directory.takeChange());
-  directory.read("w1", renewed(13, "b"), now);
-  EXPECT_TRUE(directory.takeChange());
+    directory.update("w1", renewed(sequence, "a"), now);
+  EXPECT_FALSE(directory.takeChangedFlag());
+  directory.update("w1", renewed(13, "b"), now);
+  EXPECT_TRUE(directory.takeChangedFlag());
   EXPECT_TRUE(worker().hasLabel("b"));
-  directory.read("w1", "", now);
-  EXPECT_TRUE(directory.takeChange());
+  directory.update("w1", "", now);
+  EXPECT_TRUE(directory.takeChangedFlag());
 }
 
-TEST_F(WorkerDirectoryTest, ARenewalKeepsALifeFromBeingTakenForAnEarlierOne)
+TEST_F(WorkerDirectoryTest, ARenewedProcessIsNotReplacedByAnEarlierOne)
 {
   for (int i = 1; i < 8; ++i)
-    directory.read("w1", entry(5), now + seconds(i));
-  directory.read("w1", entry(4), now + seconds(8));
+    directory.update("w1", entry(5), now + seconds(i));
+  directory.update("w1", entry(4), now + seconds(8));
   EXPECT_EQ(worker().birth(), WorkerBirth(5));
 }
 
-TEST_F(WorkerDirectoryTest, NewsAreWhatHasChanged)
+TEST_F(WorkerDirectoryTest, ReturnsTheEntriesThatHaveChanged)
 {
-  directory.takeNews();
-  directory.read("w1", entry(5), now);
-  EXPECT_TRUE(directory.takeNews().empty()) << "a renewal";
-  directory.read("w1", entry(6), now);
-  directory.read("w2", entry(1), now);
-  directory.read("w2", "", now);
-  const std::map<std::string, std::string> news = { { "w1", entry(6) },
-                                                    { "w2", "" } };
-  EXPECT_EQ(directory.takeNews(), news);
-  EXPECT_TRUE(directory.takeNews().empty());
+  directory.takeChangedEntries();
+  directory.update("w1", entry(5), now);
+  EXPECT_TRUE(directory.takeChangedEntries().empty()) << "a renewal";
+  directory.update("w1", entry(6), now);
+  directory.update("w2", entry(1), now);
+  directory.update("w2", "", now);
+  const std::map<std::string, std::string> changes = { { "w1", entry(6) },
+                                                       { "w2", "" } };
+  EXPECT_EQ(directory.takeChangedEntries(), changes);
+  EXPECT_TRUE(directory.takeChangedEntries().empty());
 }
 
-TEST_F(WorkerDirectoryTest, WhileAnotherReadsALifeThatItTellsNothingOfGoesOn)
+TEST_F(WorkerDirectoryTest, EntriesThatAPeerRelayDoesNotMentionCountAsRenewed)
 {
-  directory.relayed(now + seconds(9));
-  directory.read("w1", entry(4), now + seconds(10));
+  directory.notePeerRelay(now + seconds(9));
+  directory.update("w1", entry(4), now + seconds(10));
   EXPECT_EQ(worker().birth(), WorkerBirth(5));
 }
 
-TEST_F(WorkerDirectoryTest, AForeignEntryNamesNoWorkerAndHarmsNoOther)
+TEST_F(WorkerDirectoryTest, AnInvalidEntryRemovesItsWorkerOnly)
 {
-  directory.read("w2", entry(5), now);
-  directory.read("w2", R"({"born":"yesterday"})", now);
-  directory.read("w3", "no JSON", now);
+  directory.update("w2", entry(5), now);
+  directory.update("w2", R"({"born":"yesterday"})", now);
+  directory.update("w3", "no JSON", now);
   EXPECT_EQ(directory.workers().size(), 1u);
   EXPECT_EQ(worker().birth(), WorkerBirth(5));
 }
