--- /dev/null
+++ b/src/libasynchttp/asynchttpconnectionpool.cpp
@@ -0,0 +1,75 @@
+#include "asynchttpconnectionpool.h"
+
+#include <boost/asio/post.hpp>
+
+#include <algorithm>
+#include <utility>
+
+namespace cowslippin {
+
+AsyncHttpConnectionPool::AsyncHttpConnectionPool(
+  boost::asio::io_context& context,
+  Address address,
+  std::size_t maxConnections)
+  : m_context(context)
+  , m_address(std::move(address))
+  , m_maxConnections(maxConnections)
+{
+}
+
+AsyncHttpConnectionPool::~AsyncHttpConnectionPool()
+{
+  for (const auto& connection : m_connections)
+    connection->close();
+}
+
+void
+AsyncHttpConnectionPool::call(const HttpCallOrder& order,
+                              TimePoint deadline,
+                              HttpChannel::Done done)
+{
+  std::shared_ptr<HttpChannel> best;
+  for (const auto& connection : m_connections) {
+    if (!connection->isBusy() && connection->isOpen() &&
+        (!best || connection->idleSince() > best->idleSince()))
+      best = connection;
+  }
+  if (!best && m_connections.size() >= m_maxConnections) {
+    boost::asio::post(m_context, [done = std::move(done)] {
+      done({ HttpCallEnd::Kind::NotSent, 0, {} });
+    });
+    return;
+  }
+  if (!best) {
+    best = std::make_shared<HttpChannel>(m_context, m_address);
+    m_connections.push_back(best);
+  }
+  best->call(order, deadline, std::move(done));
+}
+
+void
+AsyncHttpConnectionPool::expire(TimePoint now)
+{
+  // The callback of an ended call may start another call, which adds a
+  // connection.
+  const auto connections = m_connections;
+  for (const auto& connection : connections)
+    connection->expire(now);
+  const auto isClosed = [](const auto& connection) {
+    return !connection->isBusy() && !connection->isOpen();
+  };
+  m_connections.erase(
+    std::remove_if(m_connections.begin(), m_connections.end(), isClosed),
+    m_connections.end());
+}
+
+bool
+AsyncHttpConnectionPool::isReceiving() const
+{
+  return std::any_of(
+    m_connections.begin(), m_connections.end(), [](const auto& connection) {
+      return connection->isReceiving();
+    });
+}
+
+} // namespace cowslippin
--- /dev/null
+++ b/src/libasynchttp/asynchttpconnectionpool.h
@@ -0,0 +1,45 @@
+#pragma once
+
+#include "httpchannel.h"
+
+#include <memory>
+#include <vector>
+
+namespace cowslippin {
+
+/// The connections to one server, each with one call at a time.
+class AsyncHttpConnectionPool
+{
+public:
+  /// `maxConnections` is also the most calls in progress at a time.
+  AsyncHttpConnectionPool(boost::asio::io_context& context,
+                          Address address,
+                          std::size_t maxConnections);
+  ~AsyncHttpConnectionPool();
+  AsyncHttpConnectionPool(const AsyncHttpConnectionPool&) = delete;
+  AsyncHttpConnectionPool& operator=(const AsyncHttpConnectionPool&) = delete;
+
+  /// Sends a call over the most recently used idle connection, or over a new
+  /// one. `done` is called once, never from within `call`; with `NotSent` if
+  /// `maxConnections` calls are in progress.
+  void call(const HttpCallOrder& order,
+            TimePoint deadline,
+            HttpChannel::Done done);
+
+  /// Ends calls whose deadline has passed and removes closed connections. The
+  /// owner calls it at short intervals.
+  void expire(TimePoint now);
+
+  /// Whether a part of a response to any call in progress has been received.
+  bool isReceiving() const;
+
+  std::size_t size() const { return m_connections.size(); }
+
+private:
+  boost::asio::io_context& m_context;
+  const Address m_address;
+  const std::size_t m_maxConnections;
+  std::vector<std::shared_ptr<HttpChannel>> m_connections;
+};
+
+} // namespace cowslippin
