--- a/src/libasynchttp/asynchttpconnectionpool.cpp
+++ b/src/libasynchttp/asynchttpconnectionpool.cpp
@@ -24,11 +24,11 @@
 }
 
 void
-AsyncHttpConnectionPool::call(const HttpCallOrder& order,
+AsyncHttpConnectionPool::call(const HttpCallRequest& order,
                               TimePoint deadline,
-                              HttpChannel::Done done)
+                              AsyncHttpConnection::Done done)
 {
-  std::shared_ptr<HttpChannel> best;
+  std::shared_ptr<AsyncHttpConnection> best;
   for (const auto& connection : m_connections) {
     if (!connection->isBusy() && connection->isOpen() &&
         (!best || connection->idleSince() > best->idleSince()))
@@ -36,12 +36,12 @@
   }
   if (!best && m_connections.size() >= m_maxConnections) {
     boost::asio::post(m_context, [done = std::move(done)] {
-      done({ HttpCallEnd::Kind::NotSent, 0, {} });
+      done({ HttpCallResult::Kind::NotSent, 0, {} });
     });
     return;
   }
   if (!best) {
-    best = std::make_shared<HttpChannel>(m_context, m_address);
+    best = std::make_shared<AsyncHttpConnection>(m_context, m_address);
     m_connections.push_back(best);
   }
   best->call(order, deadline, std::move(done));
--- a/src/libasynchttp/asynchttpconnectionpool.h
+++ b/src/libasynchttp/asynchttpconnectionpool.h
@@ -22,9 +22,9 @@
   /// Sends a call over the most recently used idle connection, or over a new
   /// one. `done` is called once, never from within `call`; with `NotSent` if
   /// `maxConnections` calls are in progress.
-  void call(const HttpCallOrder& order,
+  void call(const HttpCallRequest& order,
             TimePoint deadline,
-            HttpChannel::Done done);
+            AsyncHttpConnection::Done done);
 
   /// Ends calls whose deadline has passed and removes closed connections. The
   /// owner calls it at short intervals.
@@ -39,7 +39,7 @@
   boost::asio::io_context& m_context;
   const Address m_address;
   const std::size_t m_maxConnections;
-  std::vector<std::shared_ptr<HttpChannel>> m_connections;
+  std::vector<std::shared_ptr<AsyncHttpConnection>> m_connections;
 };
 
 } // namespace cowslippin
--- a/src/libasynchttp/httpchannel.cpp
+++ b/src/libasynchttp/httpchannel.cpp
@@ -21,9 +21,9 @@
 
 } // namespace
 
-HttpChannel::HttpChannel(net::io_context& context,
-                         Address address,
-                         std::string host)
+AsyncHttpConnection::AsyncHttpConnection(net::io_context& context,
+                                         Address address,
+                                         std::string host)
   : m_socket(context)
   , m_address(std::move(address))
   , m_host(host.empty() ? m_address.toString() : std::move(host))
@@ -31,7 +31,9 @@
 }
 
 void
-HttpChannel::call(const HttpCallOrder& order, TimePoint deadline, Done done)
+AsyncHttpConnection::call(const HttpCallRequest& order,
+                          TimePoint deadline,
+                          Done done)
 {
   m_done = std::move(done);
   m_deadline = deadline;
@@ -51,22 +53,22 @@
 }
 
 void
-HttpChannel::expire(TimePoint now)
+AsyncHttpConnection::expire(TimePoint now)
 {
   if (!isBusy())
     return;
   extendDeadline(now);
   if (now < m_deadline)
     return;
-  endCall(m_isSent ? HttpCallEnd::Kind::Unanswered
-                   : HttpCallEnd::Kind::NotSent);
+  endCall(m_isSent ? HttpCallResult::Kind::Unanswered
+                   : HttpCallResult::Kind::NotSent);
 }
 
 /// A call whose response is still being received doesn't end at its first
 /// deadline: a retry would begin at the first byte, on a link that is no
 /// faster.
 void
-HttpChannel::extendDeadline(TimePoint now)
+AsyncHttpConnection::extendDeadline(TimePoint now)
 {
   if (!m_idleTimeout || m_receivedBytes == m_bytesAtExtension)
     return;
@@ -76,7 +78,7 @@
 }
 
 void
-HttpChannel::close()
+AsyncHttpConnection::close()
 {
   error_code ignored;
   m_socket.close(ignored);
@@ -85,7 +87,7 @@
 }
 
 void
-HttpChannel::connect()
+AsyncHttpConnection::connect()
 {
   error_code error;
   const auto host = net::ip::make_address(m_address.host(), error);
@@ -100,7 +102,7 @@
       if (generation != self->m_generation || !self->isBusy())
         return;
       if (failed) {
-        self->endCall(HttpCallEnd::Kind::NotSent);
+        self->endCall(HttpCallResult::Kind::NotSent);
         return;
       }
       self->m_isConnected = true;
@@ -109,7 +111,7 @@
 }
 
 void
-HttpChannel::write()
+AsyncHttpConnection::write()
 {
   m_isSent = true;
   net::async_write(m_socket,
@@ -119,14 +121,14 @@
                      if (generation != self->m_generation || !self->isBusy())
                        return;
                      if (error)
-                       self->endCall(HttpCallEnd::Kind::Unanswered);
+                       self->endCall(HttpCallResult::Kind::Unanswered);
                      else
                        self->read();
                    });
 }
 
 void
-HttpChannel::read()
+AsyncHttpConnection::read()
 {
   m_parser.emplace();
   m_parser->body_limit(maxResponseBytes);
@@ -136,7 +138,7 @@
 }
 
 void
-HttpChannel::readMore()
+AsyncHttpConnection::readMore()
 {
   m_socket.async_read_some(
     m_buffer.prepare(m_readBytes),
@@ -148,7 +150,7 @@
 }
 
 void
-HttpChannel::bytesRead(error_code error, std::size_t bytes)
+AsyncHttpConnection::bytesRead(error_code error, std::size_t bytes)
 {
   m_buffer.commit(bytes);
   m_receivedBytes += bytes;
@@ -159,15 +161,15 @@
   else if (error == net::error::eof && m_parser->got_some())
     error = parseEndOfStream();
   if (error)
-    endCall(HttpCallEnd::Kind::Unanswered);
+    endCall(HttpCallResult::Kind::Unanswered);
   else if (m_parser->is_done())
-    endCall(HttpCallEnd::Kind::Answered);
+    endCall(HttpCallResult::Kind::Answered);
   else
     readMore();
 }
 
 error_code
-HttpChannel::parse()
+AsyncHttpConnection::parse()
 {
   error_code error;
   const std::size_t used = m_parser->put(m_buffer.data(), error);
@@ -177,7 +179,7 @@
 
 /// A response without a length ends when the server closes the connection.
 error_code
-HttpChannel::parseEndOfStream()
+AsyncHttpConnection::parseEndOfStream()
 {
   error_code error;
   m_parser->put_eof(error);
@@ -185,13 +187,13 @@
 }
 
 void
-HttpChannel::endCall(HttpCallEnd::Kind kind)
+AsyncHttpConnection::endCall(HttpCallResult::Kind kind)
 {
-  HttpCallEnd result;
+  HttpCallResult result;
   result.kind = kind;
   result.receivedBytes = m_receivedBytes;
   bool isReusable = false;
-  if (kind == HttpCallEnd::Kind::Answered) {
+  if (kind == HttpCallResult::Kind::Answered) {
     auto message = m_parser->release();
     isReusable = message.keep_alive();
     result.status = static_cast<int>(message.result_int());
@@ -211,7 +213,7 @@
 }
 
 std::string
-HttpChannel::encode(const HttpCallOrder& order) const
+AsyncHttpConnection::encode(const HttpCallRequest& order) const
 {
   std::string text =
     order.method + ' ' + order.target + " HTTP/1.1\r\nHost: " + m_host + "\r\n";
@@ -225,7 +227,7 @@
 }
 
 bool
-HttpChannel::wasClosedByPeer()
+AsyncHttpConnection::wasClosedByPeer()
 {
   char byte = 0;
   error_code error;
--- a/src/libasynchttp/httpchannel.h
+++ b/src/libasynchttp/httpchannel.h
@@ -16,8 +16,8 @@
 
 namespace cowslippin {
 
-/// A request that an `HttpChannel` sends.
-struct HttpCallOrder
+/// A request that an `AsyncHttpConnection` sends.
+struct HttpCallRequest
 {
   std::string method = "GET";
   /// The path with the query.
@@ -31,8 +31,8 @@
   std::optional<Duration> idleTimeout;
 };
 
-/// The result of a call over an `HttpChannel`.
-struct HttpCallEnd
+/// The result of a call over an `AsyncHttpConnection`.
+struct HttpCallResult
 {
   enum class Kind
   {
@@ -55,10 +55,11 @@
 /// A client connection that carries one call at a time and is kept open for the
 /// next one. The owner calls `expire` at short intervals to check the deadline,
 /// which costs less than a timer for each call.
-class HttpChannel : public std::enable_shared_from_this<HttpChannel>
+class AsyncHttpConnection
+  : public std::enable_shared_from_this<AsyncHttpConnection>
 {
 public:
-  using Done = std::function<void(const HttpCallEnd&)>;
+  using Done = std::function<void(const HttpCallResult&)>;
 
   /// A call with a longer response body ends as `Unanswered`.
   static constexpr std::uint64_t maxResponseBytes = std::uint64_t(8) << 20;
@@ -67,13 +68,13 @@
   static constexpr Duration maxDeadlineExtension = std::chrono::seconds(20);
 
   /// `host` is the value of the header field `Host`; if empty, the address.
-  HttpChannel(boost::asio::io_context& context,
-              Address address,
-              std::string host = {});
+  AsyncHttpConnection(boost::asio::io_context& context,
+                      Address address,
+                      std::string host = {});
 
   /// Sends a request. Must only be called while `isBusy` is false. `done` is
   /// called once, never from within `call`.
-  void call(const HttpCallOrder& order, TimePoint deadline, Done done);
+  void call(const HttpCallRequest& order, TimePoint deadline, Done done);
 
   /// Whether a call is in progress.
   bool isBusy() const { return static_cast<bool>(m_done); }
@@ -102,8 +103,8 @@
   void bytesRead(boost::system::error_code error, std::size_t bytes);
   boost::system::error_code parse();
   boost::system::error_code parseEndOfStream();
-  void endCall(HttpCallEnd::Kind kind);
-  std::string encode(const HttpCallOrder& order) const;
+  void endCall(HttpCallResult::Kind kind);
+  std::string encode(const HttpCallRequest& order) const;
   bool wasClosedByPeer();
 
   boost::asio::ip::tcp::socket m_socket;
--- a/src/libentry/configurationfetch.cpp
+++ b/src/libentry/configurationfetch.cpp
@@ -16,9 +16,9 @@
 }
 
 void
-ConfigurationFetch::told(const VmId& vm,
-                         const ZoneName& zone,
-                         std::uint64_t version)
+ConfigurationFetch::versionAdvertised(const VmId& vm,
+                                      const ZoneName& zone,
+                                      std::uint64_t version)
 {
   Peer& peer = m_peers[vm];
   peer.zone = zone;
@@ -29,7 +29,7 @@
 }
 
 void
-ConfigurationFetch::lost(const VmId& vm)
+ConfigurationFetch::peerLost(const VmId& vm)
 {
   m_peers.erase(vm);
   findNewest();
@@ -50,9 +50,9 @@
 }
 
 void
-ConfigurationFetch::refused(TimePoint now)
+ConfigurationFetch::parseFailed(TimePoint now)
 {
-  m_nextRequestAt = now + m_settings.refusedPause;
+  m_nextRequestAt = now + m_settings.parseFailureBackoff;
 }
 
 void
@@ -64,7 +64,7 @@
 }
 
 std::optional<ConfigurationFetch::Request>
-ConfigurationFetch::next(TimePoint now, bool isArriving)
+ConfigurationFetch::nextRequest(TimePoint now, bool isArriving)
 {
   if (!isDue(now, isArriving) || awaitsAnswer(now))
     return std::nullopt;
@@ -86,17 +86,17 @@
 }
 
 void
-ConfigurationFetch::busy(const VmId& vm, TimePoint now)
+ConfigurationFetch::peerBusy(const VmId& vm, TimePoint now)
 {
-  backOff(vm, now + m_settings.busyPause);
+  backOff(vm, now + m_settings.busyBackoff);
   if (m_pendingRequest && m_pendingRequest->vm == vm)
     m_pendingRequest.reset();
 }
 
 std::optional<std::string>
-ConfigurationFetch::received(const VmId& vm,
-                             const PeerConfigPart& part,
-                             TimePoint now)
+ConfigurationFetch::partReceived(const VmId& vm,
+                                 const PeerConfigPart& part,
+                                 TimePoint now)
 {
   answered(vm, now);
   if (!isWellFormed(part) || !append(vm, part)) {
@@ -156,7 +156,7 @@
                                const PeerConfigPart& part,
                                TimePoint now)
 {
-  backOff(vm, now + m_settings.silentPause);
+  backOff(vm, now + m_settings.noAnswerBackoff);
   // The platform may have delivered this version in the meantime.
   if (part.version <= m_inForce)
     return;
@@ -181,7 +181,7 @@
 bool
 ConfigurationFetch::isDue(TimePoint now, bool isArriving)
 {
-  if (newest() == m_inForce) {
+  if (newestVersion() == m_inForce) {
     m_behindSince.reset();
     m_transfer.reset();
     m_pendingRequest.reset();
@@ -190,9 +190,9 @@
   if (!m_behindSince)
     m_behindSince = now;
   Duration wait =
-    m_inForce == 0 ? m_settings.initialPlatformWait : m_settings.headStart;
+    m_inForce == 0 ? m_settings.initialPlatformWait : m_settings.platformWait;
   if (isArriving)
-    wait = m_settings.arrivalTime;
+    wait = m_settings.arrivalTimeout;
   return now - *m_behindSince >= wait && now >= m_nextRequestAt;
 }
 
@@ -201,13 +201,13 @@
 {
   if (!m_pendingRequest)
     return false;
-  if (now - m_pendingRequest->at < m_settings.answerTime)
+  if (now - m_pendingRequest->at < m_settings.partTimeout)
     return true;
   logEvent(LogLevel::Warning,
            "configuration-unanswered",
            { { "peer", m_pendingRequest->vm },
              { "waitedMs", toMilliseconds(now - m_pendingRequest->at) } });
-  backOff(m_pendingRequest->vm, now + m_settings.silentPause);
+  backOff(m_pendingRequest->vm, now + m_settings.noAnswerBackoff);
   m_partBytes = m_settings.minPartBytes;
   m_pendingRequest.reset();
   return false;
@@ -270,7 +270,7 @@
   logEvent(LogLevel::Info,
            "configuration-asked",
            { { "peer", request.vm },
-             { "newest", newest() },
+             { "newest", newestVersion() },
              { "inForce", m_inForce },
              { "version", request.message.version },
              { "offset", request.message.offset },
--- a/src/libentry/configurationfetch.h
+++ b/src/libentry/configurationfetch.h
@@ -34,7 +34,7 @@
     ZoneName zone;
     /// How long to wait for the platform to deliver a known newer version: 41
     /// daemons that read 0.8 MB at once had it after 0.35 to 1.45 s.
-    Duration headStart = std::chrono::milliseconds(400);
+    Duration platformWait = std::chrono::milliseconds(400);
     /// The same wait while no configuration is in force and so no caller is
     /// served. A response of the platform takes 4 ms, and up to 60 times as
     /// long when it is slow.
@@ -42,19 +42,19 @@
     /// The same wait while a response of the platform is being received. A
     /// configuration has to be in force 2 s after the platform has acknowledged
     /// it.
-    Duration arrivalTime = std::chrono::milliseconds(1000);
+    Duration arrivalTimeout = std::chrono::milliseconds(1000);
     /// Timeout for one part. It is longer than the silence limit, so that the
     /// loss of a peer is detected as such.
-    Duration answerTime = std::chrono::milliseconds(550);
+    Duration partTimeout = std::chrono::milliseconds(550);
     /// How long a peer isn't asked again after it gave no answer or a useless
     /// one.
-    Duration silentPause = std::chrono::milliseconds(1000);
+    Duration noAnswerBackoff = std::chrono::milliseconds(1000);
     /// How long a peer isn't asked again when it is busy serving others: the
     /// time of a few parts.
-    Duration busyPause = std::chrono::milliseconds(100);
+    Duration busyBackoff = std::chrono::milliseconds(100);
     /// How long no peer is asked after a configuration that could not be
     /// parsed.
-    Duration refusedPause = std::chrono::seconds(5);
+    Duration parseFailureBackoff = std::chrono::seconds(5);
     /// The size of a part is chosen so that it passes in some tens of
     /// milliseconds on any link. Heartbeats wait behind it, and three of them
     /// must come within the silence limit of 450 ms between daemons.
@@ -78,28 +78,33 @@
   explicit ConfigurationFetch(Settings settings);
 
   /// A peer advertises the version that is in force there.
-  void told(const VmId& vm, const ZoneName& zone, std::uint64_t version);
+  void versionAdvertised(const VmId& vm,
+                         const ZoneName& zone,
+                         std::uint64_t version);
   /// A peer can no longer be reached.
-  void lost(const VmId& vm);
+  void peerLost(const VmId& vm);
   /// A version has come into force on this daemon.
   void setInForce(std::uint64_t version, bool isFromPlatform);
   /// A configuration that peers sent could not be parsed.
-  void refused(TimePoint now);
+  void parseFailed(TimePoint now);
 
   /// The highest version that is in force here or advertised by a peer.
-  std::uint64_t newest() const { return std::max(m_inForce, m_newestReported); }
+  std::uint64_t newestVersion() const
+  {
+    return std::max(m_inForce, m_newestReported);
+  }
 
   /// Returns the next request to send, if any. `isArriving` tells whether a
   /// response of the platform is being received.
-  std::optional<Request> next(TimePoint now, bool isArriving);
+  std::optional<Request> nextRequest(TimePoint now, bool isArriving);
 
   /// A peer is busy serving others.
-  void busy(const VmId& vm, TimePoint now);
+  void peerBusy(const VmId& vm, TimePoint now);
   /// A part was received. Returns the whole configuration if it was the last
   /// part.
-  std::optional<std::string> received(const VmId& vm,
-                                      const PeerConfigPart& part,
-                                      TimePoint now);
+  std::optional<std::string> partReceived(const VmId& vm,
+                                          const PeerConfigPart& part,
+                                          TimePoint now);
 
 private:
   struct Peer
--- a/src/libentry/configurationsource.cpp
+++ b/src/libentry/configurationsource.cpp
@@ -49,7 +49,7 @@
 }
 
 void
-ConfigurationSource::lost(const VmId& vm)
+ConfigurationSource::peerLost(const VmId& vm)
 {
   m_receivers.erase(vm);
 }
--- a/src/libentry/configurationsource.h
+++ b/src/libentry/configurationsource.h
@@ -44,7 +44,7 @@
                      const PeerConfigRequest& request,
                      TimePoint now);
   /// A peer can no longer be reached.
-  void lost(const VmId& vm);
+  void peerLost(const VmId& vm);
 
 private:
   struct Version
--- a/src/libentry/configurationsync.cpp
+++ b/src/libentry/configurationsync.cpp
@@ -30,18 +30,18 @@
 }
 
 void
-ConfigurationSync::told(const VmId& vm,
-                        const ZoneName& zone,
-                        std::uint64_t version)
+ConfigurationSync::versionAdvertised(const VmId& vm,
+                                     const ZoneName& zone,
+                                     std::uint64_t version)
 {
-  m_fetch.told(vm, zone, version);
+  m_fetch.versionAdvertised(vm, zone, version);
 }
 
 void
-ConfigurationSync::lost(const VmId& vm)
+ConfigurationSync::peerLost(const VmId& vm)
 {
-  m_fetch.lost(vm);
-  m_source.lost(vm);
+  m_fetch.peerLost(vm);
+  m_source.peerLost(vm);
 }
 
 void
@@ -54,15 +54,15 @@
   else if (const auto* part = std::get_if<PeerConfigPart>(&message))
     partReceived(vm, *part, now);
   else if (std::holds_alternative<PeerConfigBusy>(message))
-    m_fetch.busy(vm, now);
+    m_fetch.peerBusy(vm, now);
 }
 
 void
 ConfigurationSync::tick(TimePoint now)
 {
-  const auto request = m_fetch.next(now, m_hooks.isArriving());
+  const auto request = m_fetch.nextRequest(now, m_hooks.isArriving());
   if (request && !m_hooks.send(request->vm, request->message))
-    m_fetch.lost(request->vm);
+    m_fetch.peerLost(request->vm);
 }
 
 /// Puts a configuration in force if it is newer. Returns whether it was.
@@ -104,11 +104,11 @@
                                 const PeerConfigPart& part,
                                 TimePoint now)
 {
-  const auto body = m_fetch.received(vm, part, now);
+  const auto body = m_fetch.partReceived(vm, part, now);
   if (body && apply(*body, vm.value()))
     m_fetch.setInForce(version(), false);
   else if (body)
-    m_fetch.refused(now);
+    m_fetch.parseFailed(now);
   // Requests the next part at once: waiting for a tick before each part would
   // take as long again as the parts themselves.
   tick(now);
--- a/src/libentry/configurationsync.h
+++ b/src/libentry/configurationsync.h
@@ -43,16 +43,18 @@
   /// 0 if there is none yet.
   std::uint64_t version() const { return m_routing->version(); }
   /// The highest version that is in force here or advertised by a peer.
-  std::uint64_t newestVersion() const { return m_fetch.newest(); }
+  std::uint64_t newestVersion() const { return m_fetch.newestVersion(); }
 
   /// A configuration was read from the platform. One that isn't newer is
   /// ignored.
   void platformRead(const std::string& body, TimePoint now);
 
   /// A peer advertises the version that is in force there.
-  void told(const VmId& vm, const ZoneName& zone, std::uint64_t version);
+  void versionAdvertised(const VmId& vm,
+                         const ZoneName& zone,
+                         std::uint64_t version);
   /// A peer can no longer be reached.
-  void lost(const VmId& vm);
+  void peerLost(const VmId& vm);
   /// Handles messages about configurations; ignores all others.
   void received(const VmId& vm, const PeerMessage& message, TimePoint now);
 
--- a/src/libentry/directoryreaders.cpp
+++ b/src/libentry/directoryreaders.cpp
@@ -5,7 +5,7 @@
 
 namespace cowslippin {
 
-DirectoryReaders::DirectoryReaders(VmId self, ZoneName zone, int slowness)
+WorkerListReaders::WorkerListReaders(VmId self, ZoneName zone, int slowness)
   : m_self(std::move(self))
   , m_zone(std::move(zone))
   , m_slowness(slowness)
@@ -13,7 +13,7 @@
 }
 
 bool
-DirectoryReaders::isReader(const MemberIndex::Members& members) const
+WorkerListReaders::isReader(const MemberIndex::Members& members) const
 {
   const auto ranking = rankedDaemons(members);
   const auto position = std::find(ranking.begin(), ranking.end(), m_self);
@@ -21,7 +21,7 @@
 }
 
 std::vector<VmId>
-DirectoryReaders::followers(const MemberIndex::Members& members) const
+WorkerListReaders::followers(const MemberIndex::Members& members) const
 {
   if (!isReader(members))
     return {};
@@ -33,7 +33,7 @@
 }
 
 std::vector<VmId>
-DirectoryReaders::rankedDaemons(const MemberIndex::Members& members) const
+WorkerListReaders::rankedDaemons(const MemberIndex::Members& members) const
 {
   std::vector<std::pair<int, VmId>> ranking = { { m_slowness, m_self } };
   for (const auto& [vm, member] : members) {
--- a/src/libentry/directoryreaders.h
+++ b/src/libentry/directoryreaders.h
@@ -14,7 +14,7 @@
 /// platform can send. So the two fastest daemons of each zone read the list and
 /// forward its changes to the others. A daemon that receives no changes for
 /// some time reads the list itself. The class does no I/O.
-class DirectoryReaders
+class WorkerListReaders
 {
 public:
   /// If there were only one reader, its loss would leave the others without
@@ -22,7 +22,7 @@
   static constexpr std::size_t perZone = 2;
 
   /// `slowness`: see `MemberView`.
-  DirectoryReaders(VmId self, ZoneName zone, int slowness);
+  WorkerListReaders(VmId self, ZoneName zone, int slowness);
 
   /// Whether this daemon is one of the readers.
   bool isReader(const MemberIndex::Members& members) const;
--- a/src/libentry/entrycore.cpp
+++ b/src/libentry/entrycore.cpp
@@ -11,22 +11,21 @@
 
 namespace {
 
-/// Minimum time between two messages to other holders about free places.
-constexpr Duration placesUpdateInterval = std::chrono::milliseconds(30);
+/// Minimum time between two messages to other holders about free slots.
+constexpr Duration slotsUpdateInterval = std::chrono::milliseconds(30);
 /// The same per holder that receives the message, so that the cost for a daemon
 /// doesn't grow with the group.
-constexpr Duration placesUpdateIntervalPerHolder =
-  std::chrono::milliseconds(10);
-/// Free places are advertised early when their number has changed by at least
+constexpr Duration slotsUpdateIntervalPerHolder = std::chrono::milliseconds(10);
+/// Free slots are advertised early when their number has changed by at least
 /// one part in this many.
-constexpr unsigned minPlacesChangeDivisor = 4;
+constexpr unsigned minSlotsChangeDivisor = 4;
 /// How long before the platform kills this process it exits by itself.
 constexpr Duration exitMargin = std::chrono::milliseconds(400);
 /// How long jobs that were advertised to the peers go on in the smaller part of
 /// a partitioned group. This daemon detects within the silence limit of 450 ms
 /// that a peer is gone, and that peer may have stopped receiving from this
 /// daemon 450 ms before that. These 340 ms are what is left of
-/// `wantedRunLimit`.
+/// `maxRunAfterContact`.
 constexpr Duration partitionedJobLimit = std::chrono::milliseconds(340);
 /// How often to check whether all peers have advertised their jobs.
 constexpr Duration peerReportPollInterval = std::chrono::milliseconds(10);
@@ -60,17 +59,17 @@
   , m_holderLookup(m_settings.vm,
                    m_settings.zone,
                    { m_shards, m_scheduler, m_peerReports },
-                   m_links.isUp)
+                   m_links.isConnected)
   , m_tokens(m_clocks.timeOfDay, m_clocks.processNumber)
   , m_vacancyProbe(m_settings.vacancyProbe, m_ports.hold)
   , m_directoryReaders(m_settings.vm, m_settings.zone, m_settings.slowness)
   , m_cpuStarvation(m_settings.cpuStarvation)
   , m_heartbeats(m_settings.heartbeats)
   , m_lastBootTime(m_clocks.sinceBoot())
-  , m_grace(m_settings.grace)
+  , m_grace(m_settings.shutdownGrace)
 {
   m_shards.setSlowness(m_settings.slowness);
-  m_shards.setCarried(carriedWorkers(m_settings.limits));
+  m_shards.setWorkerCapacity(maxWorkersFor(m_settings.limits));
   updateShardSizes(m_clocks.steady());
 }
 
@@ -119,7 +118,7 @@
     if (m_configuration.version() == 0 || routing()->uses(record.service()))
       used[id] = record;
   }
-  m_scheduler.setList(used, now);
+  m_scheduler.setWorkers(used, now);
   applyShardDivision(now);
 }
 
@@ -130,25 +129,25 @@
 {
   const std::set<ShardId> shards = m_scheduler.shards();
   m_shards.setShards(shards);
-  const auto held = m_shards.held();
+  const auto held = m_shards.heldShards();
   for (const auto& [shard, token] : held) {
     if (shards.count(shard) > 0)
       continue;
     logDecision(
       LogLevel::Info, "shard-dissolved", { { "shard", shard.toString() } });
-    m_shards.dissolved(shard);
+    m_shards.shardRemoved(shard);
     m_scheduler.releaseShard(shard, now);
   }
 }
 
 void
-EntryCore::passOn(const PeerWorkerNews& news)
+EntryCore::forwardWorkerChanges(const PeerWorkerChanges& news)
 {
   m_links.sendToEach(m_directoryReaders.followers(m_shards.members()), news);
 }
 
 void
-EntryCore::evacuationsRead(const Evacuations& evacuations)
+EntryCore::evacuationsRead(const EvacuatedZones& evacuations)
 {
   adoptEvacuations(evacuations, observeTime());
 }
@@ -156,7 +155,7 @@
 /// Sends the change to the peers at once, because an evacuated zone returns the
 /// tasks that peers submit to it.
 void
-EntryCore::adoptEvacuations(const Evacuations& evacuations, TimePoint now)
+EntryCore::adoptEvacuations(const EvacuatedZones& evacuations, TimePoint now)
 {
   if (!evacuations.isNewerThan(m_evacuations))
     return;
@@ -168,35 +167,35 @@
     if (before.count(zone) == 0)
       logDecision(LogLevel::Info,
                   "zone-evacuated",
-                  { { "zone", zone }, { "asOf", evacuations.asOf } });
+                  { { "zone", zone }, { "asOf", evacuations.logPosition } });
   }
   for (const ZoneName& zone : before) {
     if (evacuations.zones.count(zone) == 0)
       logDecision(LogLevel::Info,
                   "zone-reopened",
-                  { { "zone", zone }, { "asOf", evacuations.asOf } });
+                  { { "zone", zone }, { "asOf", evacuations.logPosition } });
   }
-  beat(now);
-  m_scheduler.setEvacuated(evacuations.zones, now);
+  sendHeartbeatToAll(now);
+  m_scheduler.setEvacuatedZones(evacuations.zones, now);
 }
 
 void
 EntryCore::holderRead(const ShardId& shard, const VmId& holder)
 {
-  m_shards.platformBeat(shard, holder, observeTime());
+  m_shards.setPlatformHeartbeat(shard, holder, observeTime());
 }
 
 void
 EntryCore::lastHolderRead(const ShardId& shard, const VmId& holder)
 {
-  m_shards.lastHolderRead(shard, holder);
+  m_shards.setLastHolder(shard, holder);
 }
 
 void
 EntryCore::holdersRead(FencingToken highest)
 {
-  m_shards.platformRead(observeTime());
-  m_tokens.seen(highest);
+  m_shards.platformHeartbeatsRead(observeTime());
+  m_tokens.observe(highest);
 }
 
 bool
@@ -206,18 +205,18 @@
          m_holderLookup.hasReachableHolder();
 }
 
-Gateway::Ticket
-EntryCore::submit(JobSubmission submission, Gateway::Done done)
+Gateway::CallerId
+EntryCore::submit(JobSubmission submission, Gateway::AnswerCallback done)
 {
   const TimePoint now = observeTime();
-  submission.unreadFor = now - m_peerContact.ownContact();
+  submission.maxReadDelay = now - m_peerContact.ownCallersKnownUntil();
   return m_gateway.submit(std::move(submission), std::move(done), now);
 }
 
 void
-EntryCore::callerGone(Gateway::Ticket callerId)
+EntryCore::callerDisconnected(Gateway::CallerId callerId)
 {
-  m_gateway.callerGone(callerId, observeTime());
+  m_gateway.callerDisconnected(callerId, observeTime());
 }
 
 void
@@ -229,7 +228,7 @@
   m_shutdownStartedAt = now;
   m_onShutdownDone = std::move(ended);
   m_shards.setLeaving();
-  beat(now);
+  sendHeartbeatToAll(now);
 }
 
 bool
@@ -243,27 +242,27 @@
 EntryCore::heldShards() const
 {
   std::set<ShardId> shards;
-  for (const auto& [shard, token] : m_shards.held())
+  for (const auto& [shard, token] : m_shards.heldShards())
     shards.insert(shard);
   return shards;
 }
 
-EntryCore::Figures
-EntryCore::figures() const
+EntryCore::Stats
+EntryCore::stats() const
 {
-  Figures figures;
+  Stats figures;
   figures.configurationVersion = m_configuration.version();
   figures.newestConfigurationVersion = m_configuration.newestVersion();
-  figures.callersWaiting = m_gateway.waiting();
+  figures.callersWaiting = m_gateway.jobCount();
   figures.jobsScheduled = m_scheduler.jobCount();
   figures.tasksWaiting = m_scheduler.waitingTasks();
-  figures.sparePlaces = sparePlaces(m_clocks.steady());
-  figures.shardsHeld = m_shards.held().size();
-  figures.peersUp = m_links.up().size();
+  figures.spareSlots = spareSlots(m_clocks.steady());
+  figures.shardsHeld = m_shards.heldShards().size();
+  figures.peersUp = m_links.connectedPeers().size();
   figures.evacuatedZones = m_evacuations.zones.size();
   figures.isReady = isReady();
-  figures.restarts = m_scheduler.restarts();
-  for (const auto& worker : m_scheduler.pool().view())
+  figures.restarts = m_scheduler.restartCounts();
+  for (const auto& worker : m_scheduler.pool().snapshot())
     figures.leases.push_back(worker.state);
   return figures;
 }
@@ -272,7 +271,7 @@
 EntryCore::dump() const
 {
   nlohmann::json workers = nlohmann::json::array();
-  for (const auto& worker : m_scheduler.pool().view())
+  for (const auto& worker : m_scheduler.pool().snapshot())
     workers.push_back({ { "id", worker.id.value() },
                         { "lease", toString(worker.state) },
                         { "runs", worker.runs },
@@ -287,14 +286,14 @@
   for (const ZoneName& zone : m_evacuations.zones)
     evacuated.push_back(zone.value());
   nlohmann::json peers = nlohmann::json::array();
-  for (const VmId& vm : m_links.up())
+  for (const VmId& vm : m_links.connectedPeers())
     peers.push_back(vm.value());
   return { { "vm", m_settings.vm.value() },
            { "zone", m_settings.zone.value() },
            { "configurationVersion", m_configuration.version() },
            { "isReady", isReady() },
            { "isLeaving", isLeaving() },
-           { "callersWaiting", m_gateway.waiting() },
+           { "callersWaiting", m_gateway.jobCount() },
            { "jobsScheduled", m_scheduler.jobCount() },
            { "tasksWaiting", m_scheduler.waitingTasks() },
            { "shards", std::move(shards) },
@@ -308,14 +307,15 @@
 {
   Scheduler::Hooks hooks;
   hooks.orders.hold = [this](const WorkerRecord& worker,
-                             const HoldOrder& order,
+                             const LeaseOrder& order,
                              Duration timeout) {
-    const SentHold sent{ order.token, m_clocks.steady() };
+    const SentLeaseOrder sent{ order.token, m_clocks.steady() };
     m_ports.hold(worker,
                  order,
                  timeout,
                  [this, id = worker.id(), sent](const auto& answer) {
-                   m_scheduler.holdAnswered(id, sent, answer, observeTime());
+                   m_scheduler.leaseOrderAnswered(
+                     id, sent, answer, observeTime());
                  });
   };
   hooks.orders.start = [this](const WorkerRecord& worker,
@@ -339,25 +339,27 @@
                    m_scheduler.stopAnswered(id, key, answer, observeTime());
                  });
   };
-  hooks.ended = [this](const JobKey& key, const JobEnd& end) {
+  hooks.jobEnded = [this](const JobKey& key, const JobEnd& end) {
     jobEnded(key, end);
   };
-  hooks.returned = [this](const JobKey& key, const TasksReturned& returned) {
+  hooks.tasksReturned = [this](const JobKey& key,
+                               const TasksReturned& returned) {
     tasksReturned(key, returned);
   };
   hooks.higherToken = [this](unsigned refusals) {
     return m_tokens.nextAfterRefusal(refusals);
   };
-  hooks.startUnresolved = [this](const UnresolvedStart& start) {
+  hooks.unresolvedStartFound = [this](const UnresolvedStart& start) {
     m_newUnresolved.push_back(start);
   };
-  hooks.fenced = [this](const ShardId& shard) { m_fenced.insert(shard); };
+  hooks.workerFenced = [this](const ShardId& shard) { m_fenced.insert(shard); };
   hooks.lastContact = [this](const VmId& vm) {
-    return vm == m_settings.vm ? m_peerContact.ownContact()
+    return vm == m_settings.vm ? m_peerContact.ownCallersKnownUntil()
                                : m_peerContact.lastContact(vm);
   };
-  hooks.toldUntil = [this](const VmId& vm) {
-    return vm == m_settings.vm ? TimePoint::max() : m_peerContact.toldUntil(vm);
+  hooks.advertisedUntil = [this](const VmId& vm) {
+    return vm == m_settings.vm ? TimePoint::max()
+                               : m_peerContact.advertisedUntil(vm);
   };
   return hooks;
 }
@@ -366,15 +368,17 @@
 EntryCore::gatewayHooks()
 {
   Gateway::Hooks hooks;
-  hooks.nextHolder = [this](const ShardId& shard) {
-    return m_holderLookup.next(shard, m_clocks.steady());
+  hooks.currentHolder = [this](const ShardId& shard) {
+    return m_holderLookup.currentHolder(shard, m_clocks.steady());
   };
   hooks.bestHolder = [this](const std::set<ShardId>& refusedBy) {
-    return m_holderLookup.best(refusedBy, m_clocks.steady());
+    return m_holderLookup.bestHolder(refusedBy, m_clocks.steady());
   };
-  hooks.areAllEvacuated = [this] { return m_holderLookup.areAllEvacuated(); };
-  hooks.workers = [this](const VmId& vm, const ShardId& shard) {
-    return m_peerReports.workers(vm, shard);
+  hooks.areAllZonesEvacuated = [this] {
+    return m_holderLookup.areAllZonesEvacuated();
+  };
+  hooks.workersDigest = [this](const VmId& vm, const ShardId& shard) {
+    return m_peerReports.workersDigest(vm, shard);
   };
   hooks.submit = [this](const VmId& vm, const JobRequest& request) {
     return submitTo(vm, request);
@@ -382,11 +386,11 @@
   hooks.cancel = [this](const VmId& vm, const JobKey& key) {
     cancelAt(vm, key);
   };
-  hooks.keep = [this](const VmId& vm, const JobKey& key) {
+  hooks.confirmAdvertised = [this](const VmId& vm, const JobKey& key) {
     confirmAdvertisedAt(vm, key);
   };
-  hooks.toldUntil = [this] { return allAdvertisedUntil(); };
-  hooks.underWayAt = [this](const JobId& job) { return underWayAt(job); };
+  hooks.advertisedUntil = [this] { return allAdvertisedUntil(); };
+  hooks.inProgressAt = [this](const JobId& job) { return inProgressAt(job); };
   hooks.recall = [this](const VmId& vm, const PeerRecall& recall) {
     m_links.send(vm, recall);
   };
@@ -398,11 +402,11 @@
 {
   const TimePoint now = observeTime();
   m_lastReadAt[hello.vm] = now;
-  m_losses.back(hello.vm);
+  m_losses.reconnected(hello.vm);
   m_peerReports.setZone(hello.vm, hello.zone);
   // The close flag is stored per connection, and one connection may replace
   // another without a reported loss.
-  m_links.setClose(hello.vm, m_closePeers.count(hello.vm) > 0);
+  m_links.setSharesJobs(hello.vm, m_closePeers.count(hello.vm) > 0);
   sendHeartbeats({ hello.vm }, now);
   sendUnresolved({ hello.vm }, m_scheduler.unresolvedStarts().all(), now);
 }
@@ -430,10 +434,10 @@
   m_resumeAt = now + m_settings.resumeDelay;
   // Runs of a daemon that was lost unnoticed during the pause have ended by
   // then.
-  m_peersReportedAt = now + lostRunLimit;
+  m_peersReportedAt = now + maxOrphanedRun;
   m_scheduler.suspend(now);
-  m_gateway.tellAnew(now - gap + wantedRunLimit);
-  m_links.dropAll();
+  m_gateway.advertiseAgain(now - gap + maxRunAfterContact);
+  m_links.closeAll();
 }
 
 void
@@ -445,7 +449,7 @@
     m_scheduler.resume(now);
   }
   updateCpuStarvation(now);
-  m_shards.setKnownMembers(m_links.knownCount());
+  m_shards.setKnownMemberCount(m_links.knownPeerCount());
   probeOrphans(now);
   applyShardDecisions(now);
   m_configuration.tick(now);
@@ -457,10 +461,10 @@
   if (now - m_lastHeartbeatAt >= m_settings.heartbeats.interval)
     sendScheduledHeartbeats(now);
   else
-    advertiseFreePlaces(now);
+    advertiseFreeSlots(now);
   if (now - m_lastPlatformHeartbeatAt >= m_settings.platformHeartbeatInterval) {
     m_lastPlatformHeartbeatAt = now;
-    for (const auto& [shard, token] : m_shards.held())
+    for (const auto& [shard, token] : m_shards.heldShards())
       m_ports.publishHolder(shard, m_tokens.highest());
   }
   checkShutdown(now);
@@ -468,11 +472,11 @@
 
 /// Sends a heartbeat to all peers at once.
 void
-EntryCore::beat(TimePoint now)
+EntryCore::sendHeartbeatToAll(TimePoint now)
 {
   m_lastPlacesUpdateAt = now;
-  m_advertisedPlaces = sparePlaces(now);
-  const std::set<VmId> up = m_links.up();
+  m_advertisedSlots = spareSlots(now);
+  const std::set<VmId> up = m_links.connectedPeers();
   sendHeartbeats({ up.begin(), up.end() }, now);
 }
 
@@ -483,10 +487,11 @@
   updateClosePeers();
   m_isDirectoryReader = m_directoryReaders.isReader(m_shards.members());
   m_lastHeartbeatAt = now;
-  const auto due = m_heartbeats.due(m_links.up(), m_closePeers, now);
+  const auto due =
+    m_heartbeats.takeDuePeers(m_links.connectedPeers(), m_closePeers, now);
   if (m_heartbeats.sendsToEachPeer()) {
     m_lastPlacesUpdateAt = now;
-    m_advertisedPlaces = sparePlaces(now);
+    m_advertisedSlots = spareSlots(now);
   }
   sendHeartbeats(due, now);
 }
@@ -497,13 +502,13 @@
   std::map<Duration, std::vector<VmId>> byNextWithin;
   for (const VmId& vm : vms) {
     const bool isClose = m_closePeers.count(vm) > 0;
-    byNextWithin[m_heartbeats.promise(vm, isClose, now)].push_back(vm);
+    byNextWithin[m_heartbeats.scheduleNext(vm, isClose, now)].push_back(vm);
   }
   if (byNextWithin.empty())
     return;
-  PeerBeat beat = makeHeartbeat(now);
+  PeerHeartbeat beat = makeHeartbeat(now);
   for (const auto& [promise, receivers] : byNextWithin) {
-    beat.nextWithin = promise;
+    beat.nextHeartbeatWithin = promise;
     m_links.sendToEach(receivers, beat);
   }
 }
@@ -518,10 +523,10 @@
   close.erase(m_settings.vm);
   for (const VmId& vm : m_closePeers) {
     if (close.count(vm) == 0)
-      m_links.setClose(vm, false);
+      m_links.setSharesJobs(vm, false);
   }
   for (const VmId& vm : close)
-    m_links.setClose(vm, true);
+    m_links.setSharesJobs(vm, true);
   m_closePeers = std::move(close);
 }
 
@@ -529,27 +534,27 @@
 EntryCore::addClosePeer(const VmId& vm)
 {
   m_closePeers.insert(vm);
-  m_links.setClose(vm, true);
+  m_links.setSharesJobs(vm, true);
 }
 
-/// Sends a heartbeat to the other holders early when the number of free places
+/// Sends a heartbeat to the other holders early when the number of free slots
 /// has changed by a quarter or more.
 void
-EntryCore::advertiseFreePlaces(TimePoint now)
+EntryCore::advertiseFreeSlots(TimePoint now)
 {
   const Duration since = now - m_lastPlacesUpdateAt;
-  if (m_shards.held().empty() || since < placesUpdateInterval)
+  if (m_shards.heldShards().empty() || since < slotsUpdateInterval)
     return;
   const std::set<VmId> holders = m_shards.holders();
-  if (since < placesUpdateIntervalPerHolder * holders.size())
+  if (since < slotsUpdateIntervalPerHolder * holders.size())
     return;
-  const unsigned places = sparePlaces(now);
+  const unsigned slots = spareSlots(now);
   const unsigned change =
-    std::max(places, m_advertisedPlaces) - std::min(places, m_advertisedPlaces);
-  if (change * minPlacesChangeDivisor < std::max(places, m_advertisedPlaces))
+    std::max(slots, m_advertisedSlots) - std::min(slots, m_advertisedSlots);
+  if (change * minSlotsChangeDivisor < std::max(slots, m_advertisedSlots))
     return;
   m_lastPlacesUpdateAt = now;
-  m_advertisedPlaces = places;
+  m_advertisedSlots = slots;
   std::vector<VmId> others;
   for (const VmId& vm : holders) {
     if (vm != m_settings.vm)
@@ -559,12 +564,12 @@
 }
 
 unsigned
-EntryCore::sparePlaces(TimePoint now) const
+EntryCore::spareSlots(TimePoint now) const
 {
-  unsigned places = 0;
-  for (const auto& [shard, token] : m_shards.held())
-    places += m_scheduler.sparePlaces(shard, now);
-  return places;
+  unsigned slots = 0;
+  for (const auto& [shard, token] : m_shards.heldShards())
+    slots += m_scheduler.spareSlots(shard, now);
+  return slots;
 }
 
 /// Checks for CPU starvation: ticks that come late for some time mean that this
@@ -572,12 +577,12 @@
 void
 EntryCore::updateCpuStarvation(TimePoint now)
 {
-  if (m_cpuStarvation.ticked(now))
+  if (m_cpuStarvation.tick(now))
     logDecision(
       LogLevel::Info,
-      m_cpuStarvation.isStrained() ? "strained" : "strain-over",
+      m_cpuStarvation.isCpuStarved() ? "strained" : "strain-over",
       { { "latenessMs", toMilliseconds(m_cpuStarvation.lateness()) } });
-  m_shards.setStrained(m_cpuStarvation.isStrained());
+  m_shards.setCpuStarved(m_cpuStarvation.isCpuStarved());
 }
 
 /// Asks the workers of zones without a reachable daemon whether any daemon
@@ -586,7 +591,7 @@
 EntryCore::probeOrphans(TimePoint now)
 {
   std::set<ShardId> asked;
-  for (const auto& [shard, token] : m_shards.orphans(now)) {
+  for (const auto& [shard, token] : m_shards.shardsToProbe(now)) {
     asked.insert(shard);
     m_vacancyProbe.probe(shard, token, m_scheduler.workersOf(shard), now);
     if (!m_vacancyProbe.isVacant(shard))
@@ -594,33 +599,33 @@
     logDecision(LogLevel::Info,
                 "shard-vacant",
                 { { "shard", shard.toString() }, { "lastToken", token } });
-    m_shards.setVacant(shard, now);
+    m_shards.setUnused(shard, now);
   }
-  m_vacancyProbe.keepOnly(asked);
+  m_vacancyProbe.dropOthers(asked);
 }
 
-PeerBeat
+PeerHeartbeat
 EntryCore::makeHeartbeat(TimePoint now) const
 {
-  PeerBeat beat;
+  PeerHeartbeat beat;
   beat.isLeaving = isLeaving();
   beat.isReady = m_hasWorkers && m_configuration.version() > 0;
-  for (const auto& [shard, token] : m_shards.held())
+  for (const auto& [shard, token] : m_shards.heldShards())
     beat.shards[shard] = { token,
-                           m_scheduler.sparePlaces(shard, now),
-                           m_scheduler.digest(shard) };
-  beat.isStrained = m_cpuStarvation.isStrained();
-  beat.isNew = m_shards.isNew(now);
+                           m_scheduler.spareSlots(shard, now),
+                           m_scheduler.workersDigest(shard) };
+  beat.isCpuStarved = m_cpuStarvation.isCpuStarved();
+  beat.hasJustStarted = m_shards.hasJustStarted(now);
   beat.slowness = m_settings.slowness;
-  beat.carried = carriedWorkers(m_settings.limits);
+  beat.workerCapacity = maxWorkersFor(m_settings.limits);
   beat.highestToken = m_tokens.highest();
   beat.configVersion = m_configuration.version();
   beat.evacuations = m_evacuations;
   // Peers that acknowledge this heartbeat thereby confirm that they have read
   // this list.
-  beat.longJobs = m_gateway.longJobs(now);
-  beat.asksAck = m_gateway.hasUntoldJobs(now);
-  beat.sentAt = PeerContact::stamp(now);
+  beat.longRunningJobs = m_gateway.longRunningJobs(now);
+  beat.isAckRequested = m_gateway.hasUnadvertisedJobs(now);
+  beat.sentAt = PeerLiveness::toSentAt(now);
   return beat;
 }
 
@@ -628,14 +633,14 @@
 EntryCore::applyShardDecisions(TimePoint now)
 {
   for (const ShardId& shard : std::exchange(m_fenced, {}))
-    m_shards.fenced(shard, now);
+    m_shards.workerFenced(shard, now);
   const ShardTable::Decisions decisions = m_shards.decide(now);
   for (const ShardId& shard : decisions.release) {
     logDecision(LogLevel::Info,
                 "shard-released",
                 { { "shard", shard.toString() },
                   { "isIsolated", m_shards.isIsolated() } });
-    m_shards.released(shard, now);
+    m_shards.shardReleased(shard, now);
     m_scheduler.releaseShard(shard, now);
   }
   for (const ShardId& shard : decisions.take) {
@@ -644,13 +649,13 @@
                 "shard-taken",
                 { { "shard", shard.toString() },
                   { "token", token },
-                  { "peers", m_links.up().size() } });
-    m_shards.taken(shard, token, now);
+                  { "peers", m_links.connectedPeers().size() } });
+    m_shards.shardTaken(shard, token, now);
     m_scheduler.takeShard(shard, token, now);
     m_ports.publishHolder(shard, token);
   }
   if (!decisions.release.empty() || !decisions.take.empty())
-    beat(now);
+    sendHeartbeatToAll(now);
 }
 
 void
@@ -659,7 +664,7 @@
   if (!m_shutdownStartedAt || !m_onShutdownDone)
     return;
   const Duration since = now - *m_shutdownStartedAt;
-  const bool isIdle = m_gateway.waiting() == 0 && m_scheduler.jobCount() == 0;
+  const bool isIdle = m_gateway.jobCount() == 0 && m_scheduler.jobCount() == 0;
   const bool isDone = isIdle && since >= m_settings.balancerDelay;
   if (!isDone && since < m_grace - exitMargin)
     return;
@@ -671,64 +676,67 @@
 {
   const TimePoint now = observeTime();
   m_lastReadAt[vm] = now;
-  if (const auto* beat = std::get_if<PeerBeat>(&message))
-    beatReceived(vm, *beat, now);
+  if (const auto* beat = std::get_if<PeerHeartbeat>(&message))
+    heartbeatReceived(vm, *beat, now);
   else if (const auto* submit = std::get_if<PeerSubmit>(&message))
     submitted(vm, *submit, now);
-  else if (const auto* ack = std::get_if<PeerBeatAck>(&message))
+  else if (const auto* ack = std::get_if<PeerHeartbeatAck>(&message))
     heartbeatAcknowledged(vm, *ack, now);
   else if (const auto* cancel = std::get_if<PeerCancel>(&message))
     m_scheduler.cancel(cancel->key, now);
   else if (const auto* ended = std::get_if<PeerJobEnd>(&message))
-    m_gateway.ended(vm, ended->key, ended->end, now);
+    m_gateway.partEnded(vm, ended->key, ended->end, now);
   else if (const auto* back = std::get_if<PeerTasksReturned>(&message))
-    m_gateway.returned(vm, back->key, back->returned, now);
+    m_gateway.tasksReturned(vm, back->key, back->returned, now);
   else if (const auto* starts = std::get_if<PeerUnresolvedStarts>(&message))
     unresolvedReceived(*starts, now);
-  else if (const auto* keep = std::get_if<PeerKeep>(&message))
-    m_scheduler.keep(keep->key, now);
+  else if (const auto* keep = std::get_if<PeerJobAdvertised>(&message))
+    m_scheduler.liftExclusivity(keep->key, now);
   else if (const auto* recall = std::get_if<PeerRecall>(&message))
     m_links.send(
-      vm, PeerRecalled{ recall->job, m_gateway.recall(vm, *recall, now) });
-  else if (const auto* recalled = std::get_if<PeerRecalled>(&message))
+      vm,
+      PeerRecallAck{ recall->job, m_gateway.recallReceived(vm, *recall, now) });
+  else if (const auto* recalled = std::get_if<PeerRecallAck>(&message))
     recallAcknowledged(vm, *recalled, now);
-  else if (const auto* news = std::get_if<PeerWorkerNews>(&message))
-    m_ports.workerNews(*news);
+  else if (const auto* news = std::get_if<PeerWorkerChanges>(&message))
+    m_ports.workerChangesForwarded(*news);
   else
     m_configuration.received(vm, message, now);
 }
 
 void
-EntryCore::beatReceived(const VmId& vm, const PeerBeat& beat, TimePoint now)
+EntryCore::heartbeatReceived(const VmId& vm,
+                             const PeerHeartbeat& beat,
+                             TimePoint now)
 {
   m_peerReports.received(vm, beat, now);
-  m_peerContact.beatReceived(vm, beat.sentAt, now);
-  m_knownJobs.told(vm, beat.longJobs, now);
-  m_gateway.told(vm, beat.longJobs, now);
-  if (beat.asksAck)
+  m_peerContact.heartbeatReceived(vm, beat.sentAt, now);
+  m_knownJobs.update(vm, beat.longRunningJobs, now);
+  m_gateway.longRunningJobsReceived(vm, beat.longRunningJobs, now);
+  if (beat.isAckRequested)
     m_links.send(vm, m_peerContact.acknowledgement(vm));
   adoptEvacuations(beat.evacuations, now);
-  m_tokens.seen(beat.highestToken);
+  m_tokens.observe(beat.highestToken);
   MemberView view;
   view.id = vm;
   view.zone = m_peerReports.zone(vm);
   view.isLeaving = beat.isLeaving;
   view.isReady = beat.isReady;
-  view.isStrained = beat.isStrained;
-  view.isNew = beat.isNew;
+  view.isCpuStarved = beat.isCpuStarved;
+  view.hasJustStarted = beat.hasJustStarted;
   view.slowness = beat.slowness;
-  view.carried = beat.carried;
+  view.workerCapacity = beat.workerCapacity;
   for (const auto& [shard, held] : beat.shards)
     view.shards[shard] = held.token;
-  if (m_shards.memberSeen(view, now))
+  if (m_shards.updateMember(view, now))
     updateShardSizes(now);
   adoptShardDivisions(beat, now);
   m_scheduler.forgetPeer(vm);
   if (!beat.isLeaving) {
     for (const auto& [shard, held] : beat.shards)
-      m_scheduler.setPeerPlaces(vm, shard, held.places);
+      m_scheduler.setPeerSlots(vm, shard, held.freeSlots);
   }
-  m_configuration.told(vm, view.zone, beat.configVersion);
+  m_configuration.versionAdvertised(vm, view.zone, beat.configVersion);
 }
 
 void
@@ -747,7 +755,7 @@
 EntryCore::sendNewUnresolved(TimePoint now)
 {
   const auto starts = std::exchange(m_newUnresolved, {});
-  const std::set<VmId> up = m_links.up();
+  const std::set<VmId> up = m_links.connectedPeers();
   sendUnresolved({ up.begin(), up.end() }, starts, now);
 }
 
@@ -756,7 +764,7 @@
                               TimePoint now)
 {
   for (const auto& start : message.starts)
-    m_scheduler.addUnresolved(
+    m_scheduler.addUnresolvedStart(
       { start.key, start.worker, now + start.remaining });
 }
 
@@ -770,7 +778,7 @@
   JobRequest request = submit.request;
   if (request.exclusiveFor != Duration::max()) {
     const auto sentAfter =
-      PeerContact::sentAfter(submit.ack, submit.ackAge, now);
+      PeerLiveness::sentAfter(submit.ack, submit.ackAge, now);
     if (!sentAfter) {
       jobEnded(request.key, { JobOutcome::NotHolder, Duration::zero(), {}, 1 });
       return;
@@ -788,7 +796,7 @@
 bool
 EntryCore::havePeersReported(TimePoint now) const
 {
-  const std::size_t known = m_links.knownCount();
+  const std::size_t known = m_links.knownPeerCount();
   return now >= m_peersReportedAt || m_shards.haveAllJustStarted() ||
          (known > 0 && m_shards.members().size() >= known);
 }
@@ -797,21 +805,21 @@
 /// silent peers count as lost: a closed connection means that the peer's
 /// process has ended.
 bool
-EntryCore::isCutOff(TimePoint now) const
+EntryCore::mayBePartitioned(TimePoint now) const
 {
-  const std::size_t reachable = m_links.up().size() + 1;
-  const std::size_t known = m_links.knownCount() + 1;
+  const std::size_t reachable = m_links.connectedPeers().size() + 1;
+  const std::size_t known = m_links.knownPeerCount() + 1;
   const bool hasDiscoveredFew = now < m_discoveryEndsAt && known > reachable &&
                                 known - reachable >= reachable;
-  return hasDiscoveredFew || m_losses.isCutOff(reachable, now);
+  return hasDiscoveredFew || m_losses.mayBePartitioned(reachable, now);
 }
 
-std::optional<KnownJobs::Place>
-EntryCore::underWayAt(const JobId& job) const
+std::optional<PeerJobs::Location>
+EntryCore::inProgressAt(const JobId& job) const
 {
   const TimePoint now = m_clocks.steady();
   if (!havePeersReported(now))
-    return KnownJobs::Place{
+    return PeerJobs::Location{
       std::nullopt, std::min(m_peersReportedAt, now + peerReportPollInterval)
     };
   return m_knownJobs.find(job, now);
@@ -825,11 +833,12 @@
 {
   TimePoint advertisedUntil = TimePoint::max();
   const TimePoint now = m_clocks.steady();
-  if (!havePeersReported(now) || isCutOff(now))
+  if (!havePeersReported(now) || mayBePartitioned(now))
     return TimePoint();
-  for (const VmId& vm : m_links.up()) {
+  for (const VmId& vm : m_links.connectedPeers()) {
     if (m_heartbeats.sendsToEachPeer() || m_closePeers.count(vm) > 0)
-      advertisedUntil = std::min(advertisedUntil, m_peerContact.toldUntil(vm));
+      advertisedUntil =
+        std::min(advertisedUntil, m_peerContact.advertisedUntil(vm));
   }
   return advertisedUntil;
 }
@@ -840,19 +849,19 @@
 EntryCore::acknowledgeHeartbeats(TimePoint now)
 {
   for (const VmId& vm : m_jobHolders) {
-    if (const auto ack = m_peerContact.takeDue(vm, now))
+    if (const auto ack = m_peerContact.takeDueAcknowledgement(vm, now))
       m_links.send(vm, *ack);
   }
 }
 
 void
 EntryCore::heartbeatAcknowledged(const VmId& vm,
-                                 const PeerBeatAck& ack,
+                                 const PeerHeartbeatAck& ack,
                                  TimePoint now)
 {
   const Duration before = now - m_peerContact.lastContact(vm);
   m_peerContact.acknowledged(vm, ack, now);
-  if (before > m_settings.scheduler.startContactLimit)
+  if (before > m_settings.scheduler.maxContactAgeForStart)
     m_scheduler.contactRenewed(now);
 }
 
@@ -861,23 +870,23 @@
 void
 EntryCore::updateShardSizes(TimePoint now)
 {
-  if (!m_shardSizes.update(m_shards.weakestCarried(), now))
+  if (!m_shardSizes.update(m_shards.smallestWorkerCapacities(), now))
     return;
-  for (const auto& [zone, workers] : m_shardSizes.bounds())
+  for (const auto& [zone, workers] : m_shardSizes.limits())
     logEvent(LogLevel::Info,
              "shard-size",
              { { "zone", zone }, { "workers", workers } });
-  m_scheduler.setBounds(m_shardSizes.bounds());
+  m_scheduler.setMaxShardSizes(m_shardSizes.limits());
   if (m_hasWorkers)
     updateWorkerList(now);
 }
 
 void
-EntryCore::adoptShardDivisions(const PeerBeat& beat, TimePoint now)
+EntryCore::adoptShardDivisions(const PeerHeartbeat& beat, TimePoint now)
 {
   bool isDivisionChanged = false;
   for (const auto& [shard, held] : beat.shards)
-    isDivisionChanged = m_scheduler.adoptDivision(shard) || isDivisionChanged;
+    isDivisionChanged = m_scheduler.adoptShardCount(shard) || isDivisionChanged;
   if (isDivisionChanged)
     applyShardDivision(now);
 }
@@ -907,32 +916,32 @@
   logPeerLost(vm, loss, now);
   m_closePeers.erase(vm);
   m_jobHolders.erase(vm);
-  m_peerContact.lost(vm);
-  m_knownJobs.lost(vm, now);
+  m_peerContact.peerLost(vm);
+  m_knownJobs.peerLost(vm, now);
   recordLoss(vm, loss, now);
-  m_shards.memberGone(vm, now);
-  m_configuration.lost(vm);
-  m_scheduler.daemonLost(vm, loss == PeerLoss::Silent, now);
-  m_gateway.daemonLost(vm, now);
+  m_shards.removeMember(vm, now);
+  m_configuration.peerLost(vm);
+  m_scheduler.peerLost(vm, loss == PeerLoss::Silent, now);
+  m_gateway.peerLost(vm, now);
 }
 
 void
 EntryCore::recallAcknowledged(const VmId& vm,
-                              const PeerRecalled& recalled,
+                              const PeerRecallAck& recalled,
                               TimePoint now)
 {
-  if (recalled.overIn == Duration::zero())
-    m_knownJobs.over(vm, recalled.job);
-  m_gateway.recalled(vm, recalled.job, recalled.overIn, now);
+  if (recalled.endedWithin == Duration::zero())
+    m_knownJobs.ended(vm, recalled.job);
+  m_gateway.recallAcknowledged(vm, recalled.job, recalled.endedWithin, now);
 }
 
 void
 EntryCore::recordLoss(const VmId& vm, PeerLoss loss, TimePoint now)
 {
   if (loss == PeerLoss::Silent)
-    m_losses.lost(vm, now);
-  if (isCutOff(now))
-    m_gateway.tellAnew(now + partitionedJobLimit);
+    m_losses.peerLost(vm, now);
+  if (mayBePartitioned(now))
+    m_gateway.advertiseAgain(now + partitionedJobLimit);
 }
 
 void
@@ -940,7 +949,7 @@
 {
   if (key.submitter() == m_settings.vm) {
     m_links.post([this, key, end] {
-      m_gateway.ended(m_settings.vm, key, end, observeTime());
+      m_gateway.partEnded(m_settings.vm, key, end, observeTime());
     });
     return;
   }
@@ -952,7 +961,7 @@
 {
   if (key.submitter() == m_settings.vm) {
     m_links.post([this, key, returned] {
-      m_gateway.returned(m_settings.vm, key, returned, observeTime());
+      m_gateway.tasksReturned(m_settings.vm, key, returned, observeTime());
     });
     return;
   }
@@ -988,9 +997,9 @@
 EntryCore::confirmAdvertisedAt(const VmId& vm, const JobKey& key)
 {
   if (vm == m_settings.vm)
-    m_scheduler.keep(key, m_clocks.steady());
+    m_scheduler.liftExclusivity(key, m_clocks.steady());
   else
-    m_links.send(vm, PeerKeep{ key });
+    m_links.send(vm, PeerJobAdvertised{ key });
 }
 
 } // namespace cowslippin
--- a/src/libentry/entrycore.h
+++ b/src/libentry/entrycore.h
@@ -39,7 +39,7 @@
     VmId vm;
     ZoneName zone;
     /// Time between the request to shut down and the kill of the process.
-    Duration grace = std::chrono::seconds(6);
+    Duration shutdownGrace = std::chrono::seconds(6);
     /// How slow this machine is: the base-2 logarithm of the time that a fixed
     /// benchmark takes.
     int slowness = 0;
@@ -47,12 +47,12 @@
     /// it can hold.
     MachineLimits limits;
     /// A daemon that is short of processor time releases its shards to others.
-    StrainMeter::Settings cpuStarvation;
+    CpuStarvationDetector::Settings cpuStarvation;
     Scheduler::Settings scheduler;
     ShardTable::Settings shards;
     Gateway::Settings gateway;
     VacancyProbe::Settings vacancyProbe;
-    HeartbeatPlan::Settings heartbeats;
+    HeartbeatSchedule::Settings heartbeats;
     /// How often a holder sends a heartbeat to the platform.
     Duration platformHeartbeatInterval = std::chrono::seconds(1);
     /// A longer gap between two clock readings means that this process was
@@ -78,9 +78,9 @@
   struct Ports
   {
     std::function<void(const WorkerRecord&,
-                       const HoldOrder&,
+                       const LeaseOrder&,
                        Duration timeout,
-                       std::function<void(const HoldAnswer&)>)>
+                       std::function<void(const LeaseOrderAnswer&)>)>
       hold;
     std::function<void(const WorkerRecord&,
                        const StartOrder&,
@@ -101,7 +101,7 @@
     std::function<bool()> isConfigurationArriving;
     /// A daemon of the same zone has forwarded changes of the platform's list
     /// of workers.
-    std::function<void(const PeerWorkerNews&)> workerNews;
+    std::function<void(const PeerWorkerChanges&)> workerChangesForwarded;
   };
 
   /// The connections to other daemons. No function may be empty.
@@ -113,12 +113,12 @@
       sendToEach;
     /// Sets whether this daemon shares jobs with a peer, so that a loss of the
     /// peer has to be detected soon.
-    std::function<void(const VmId&, bool isClose)> setClose;
-    std::function<bool(const VmId&)> isUp;
-    std::function<std::set<VmId>()> up;
+    std::function<void(const VmId&, bool isClose)> setSharesJobs;
+    std::function<bool(const VmId&)> isConnected;
+    std::function<std::set<VmId>()> connectedPeers;
     /// The number of known daemons, reachable or not.
-    std::function<std::size_t()> knownCount;
-    std::function<void()> dropAll;
+    std::function<std::size_t()> knownPeerCount;
+    std::function<void()> closeAll;
     /// Calls a function later, from the event loop.
     std::function<void(std::function<void()>)> post;
   };
@@ -146,9 +146,9 @@
   bool isDirectoryReader() const { return m_isDirectoryReader; }
   /// Forwards changes of the list of workers to the daemons of the zone that
   /// don't read it themselves.
-  void passOn(const PeerWorkerNews& news);
+  void forwardWorkerChanges(const PeerWorkerChanges& news);
   /// The set of evacuated zones was read from the platform's log.
-  void evacuationsRead(const Evacuations& evacuations);
+  void evacuationsRead(const EvacuatedZones& evacuations);
   /// A holder's heartbeat for a shard was read from the platform.
   void holderRead(const ShardId& shard, const VmId& holder);
   /// The last holder of a shard was read from the platform, however long ago
@@ -165,8 +165,9 @@
   /// Whether the load balancer should send callers to this daemon.
   bool isReady() const;
 
-  Gateway::Ticket submit(JobSubmission submission, Gateway::Done done);
-  void callerGone(Gateway::Ticket callerId);
+  Gateway::CallerId submit(JobSubmission submission,
+                           Gateway::AnswerCallback done);
+  void callerDisconnected(Gateway::CallerId callerId);
 
   /// Connections to peers being made and lost, and the messages that peers
   /// send.
@@ -191,7 +192,7 @@
   std::set<ShardId> heldShards() const;
 
   /// The values that are exported as metrics.
-  struct Figures
+  struct Stats
   {
     std::uint64_t configurationVersion = 0;
     /// The highest version that is known to this daemon or reported by a peer.
@@ -199,7 +200,7 @@
     std::size_t callersWaiting = 0;
     std::size_t jobsScheduled = 0;
     std::size_t tasksWaiting = 0;
-    unsigned sparePlaces = 0;
+    unsigned spareSlots = 0;
     std::size_t shardsHeld = 0;
     std::size_t peersUp = 0;
     std::size_t evacuatedZones = 0;
@@ -208,13 +209,16 @@
     std::vector<LeaseState> leases;
     LossLog::Counts restarts;
   };
-  Figures figures() const;
+  Stats stats() const;
 
   /// The state of all components as JSON, for an operator.
   nlohmann::json dump() const;
 
   /// Whether the holders' entries at the platform should be read often.
-  bool needsHolderReads() const { return m_shards.needsPlatformReads(); }
+  bool needsFrequentHolderReads() const
+  {
+    return m_shards.needsPlatformHeartbeats();
+  }
 
   /// Reads the clocks and handles a pause of the process, if there was one.
   /// Returns the time of the steady clock.
@@ -227,15 +231,15 @@
   ConfigurationSync::Hooks configurationHooks();
   void configurationChanged();
   void handlePause(TimePoint now, Duration gap);
-  void beat(TimePoint now);
+  void sendHeartbeatToAll(TimePoint now);
   void sendScheduledHeartbeats(TimePoint now);
-  void advertiseFreePlaces(TimePoint now);
+  void advertiseFreeSlots(TimePoint now);
   void sendHeartbeats(const std::vector<VmId>& vms, TimePoint now);
-  PeerBeat makeHeartbeat(TimePoint now) const;
+  PeerHeartbeat makeHeartbeat(TimePoint now) const;
   void updateClosePeers();
   void addClosePeer(const VmId& vm);
   void recallAcknowledged(const VmId& vm,
-                          const PeerRecalled& recalled,
+                          const PeerRecallAck& recalled,
                           TimePoint now);
   void recordLoss(const VmId& vm, PeerLoss loss, TimePoint now);
   void logPeerLost(const VmId& vm, PeerLoss loss, TimePoint now);
@@ -244,28 +248,30 @@
   void submitted(const VmId& vm, const PeerSubmit& submit, TimePoint now);
   void acknowledgeHeartbeats(TimePoint now);
   void heartbeatAcknowledged(const VmId& vm,
-                             const PeerBeatAck& ack,
+                             const PeerHeartbeatAck& ack,
                              TimePoint now);
-  void beatReceived(const VmId& vm, const PeerBeat& beat, TimePoint now);
+  void heartbeatReceived(const VmId& vm,
+                         const PeerHeartbeat& beat,
+                         TimePoint now);
   void sendUnresolved(const std::vector<VmId>& vms,
                       const std::vector<UnresolvedStart>& starts,
                       TimePoint now);
   void sendNewUnresolved(TimePoint now);
   void unresolvedReceived(const PeerUnresolvedStarts& message, TimePoint now);
   bool havePeersReported(TimePoint now) const;
-  bool isCutOff(TimePoint now) const;
+  bool mayBePartitioned(TimePoint now) const;
   TimePoint allAdvertisedUntil() const;
-  std::optional<KnownJobs::Place> underWayAt(const JobId& job) const;
+  std::optional<PeerJobs::Location> inProgressAt(const JobId& job) const;
   void confirmAdvertisedAt(const VmId& vm, const JobKey& key);
   void jobEnded(const JobKey& key, const JobEnd& end);
   void tasksReturned(const JobKey& key, const TasksReturned& returned);
-  unsigned sparePlaces(TimePoint now) const;
+  unsigned spareSlots(TimePoint now) const;
   void updateCpuStarvation(TimePoint now);
   void probeOrphans(TimePoint now);
   void updateWorkerList(TimePoint now);
   void applyShardDivision(TimePoint now);
-  void adoptShardDivisions(const PeerBeat& beat, TimePoint now);
-  void adoptEvacuations(const Evacuations& evacuations, TimePoint now);
+  void adoptShardDivisions(const PeerHeartbeat& beat, TimePoint now);
+  void adoptEvacuations(const EvacuatedZones& evacuations, TimePoint now);
   void updateShardSizes(TimePoint now);
   bool submitTo(const VmId& vm, const JobRequest& request);
   void cancelAt(const VmId& vm, const JobKey& key);
@@ -275,17 +281,17 @@
   const Links m_links;
   const Clocks m_clocks;
   ShardTable m_shards;
-  ShardSizes m_shardSizes;
+  ShardSizeLimits m_shardSizes;
   Scheduler m_scheduler;
   Gateway m_gateway;
   ConfigurationSync m_configuration;
   bool m_hasWorkers = false;
   WorkerList m_workers;
-  Evacuations m_evacuations;
+  EvacuatedZones m_evacuations;
   PeerReports m_peerReports;
-  PeerContact m_peerContact;
-  KnownJobs m_knownJobs;
-  MemberLosses m_losses;
+  PeerLiveness m_peerContact;
+  PeerJobs m_knownJobs;
+  PeerLosses m_losses;
   /// After the start or a pause, the time by which all peers have advertised
   /// their jobs to this daemon.
   TimePoint m_peersReportedAt;
@@ -293,12 +299,12 @@
   /// it can reach.
   TimePoint m_discoveryEndsAt;
   HolderLookup m_holderLookup;
-  TokenSource m_tokens;
+  FencingTokenGenerator m_tokens;
   VacancyProbe m_vacancyProbe;
-  DirectoryReaders m_directoryReaders;
+  WorkerListReaders m_directoryReaders;
   bool m_isDirectoryReader = true;
-  StrainMeter m_cpuStarvation;
-  HeartbeatPlan m_heartbeats;
+  CpuStarvationDetector m_cpuStarvation;
+  HeartbeatSchedule m_heartbeats;
   /// Peers that have jobs of this daemon, or whose jobs this daemon has.
   std::set<VmId> m_closePeers;
   /// The close peers that have jobs of this daemon.
@@ -310,7 +316,7 @@
   std::map<VmId, TimePoint> m_lastReadAt;
   TimePoint m_lastHeartbeatAt{};
   TimePoint m_lastPlacesUpdateAt{};
-  unsigned m_advertisedPlaces = 0;
+  unsigned m_advertisedSlots = 0;
   TimePoint m_lastPlatformHeartbeatAt{};
   std::chrono::nanoseconds m_lastBootTime{};
   std::optional<TimePoint> m_resumeAt;
--- a/src/libentry/entrydaemon.cpp
+++ b/src/libentry/entrydaemon.cpp
@@ -109,15 +109,15 @@
   if (auto problem = m_links.listen())
     return problem;
   for (const Address& seed : m_settings.seeds)
-    m_links.addKnown(seed, steadyNow());
-  tickLater();
+    m_links.addAddress(seed, steadyNow());
+  scheduleTick();
   return std::nullopt;
 }
 
 void
-EntryDaemon::memberRead(const Address& address)
+EntryDaemon::peerAddressRead(const Address& address)
 {
-  m_links.addKnown(address, m_core.observeTime());
+  m_links.addAddress(address, m_core.observeTime());
 }
 
 void
@@ -140,25 +140,27 @@
                             const PeerMessage& message) {
     m_links.sendToEach(vms, message);
   };
-  links.setClose = [this](const VmId& vm, bool isClose) {
-    m_links.setClose(vm, isClose, steadyNow());
+  links.setSharesJobs = [this](const VmId& vm, bool isClose) {
+    m_links.setSharesJobs(vm, isClose, steadyNow());
   };
-  links.isUp = [this](const VmId& vm) { return m_links.isUp(vm); };
-  links.up = [this] { return m_links.up(); };
-  links.knownCount = [this] { return m_links.knownCount(); };
-  links.dropAll = [this] { m_links.dropAll(steadyNow()); };
+  links.isConnected = [this](const VmId& vm) {
+    return m_links.isConnected(vm);
+  };
+  links.connectedPeers = [this] { return m_links.connectedPeers(); };
+  links.knownPeerCount = [this] { return m_links.knownPeerCount(); };
+  links.closeAll = [this] { m_links.closeAll(steadyNow()); };
   links.post = [this](std::function<void()> function) {
     boost::asio::post(m_context, std::move(function));
   };
   return links;
 }
 
-PeerLinks::Hooks
+PeerConnections::Hooks
 EntryDaemon::linkHooks()
 {
-  PeerLinks::Hooks hooks;
-  hooks.up = [this](const PeerHello& hello) { m_core.peerUp(hello); };
-  hooks.down = [this](const VmId& vm, PeerLoss loss) {
+  PeerConnections::Hooks hooks;
+  hooks.connected = [this](const PeerHello& hello) { m_core.peerUp(hello); };
+  hooks.disconnected = [this](const VmId& vm, PeerLoss loss) {
     m_core.peerDown(vm, loss);
   };
   hooks.received = [this](const VmId& vm, const PeerMessage& message) {
@@ -168,7 +170,7 @@
 }
 
 void
-EntryDaemon::tickLater()
+EntryDaemon::scheduleTick()
 {
   m_timer.expires_after(m_settings.core.cpuStarvation.tickInterval);
   m_timer.async_wait([this](boost::system::error_code error) {
@@ -178,7 +180,7 @@
     m_ticked(now);
     m_links.tick(now);
     m_core.tick();
-    tickLater();
+    scheduleTick();
   });
 }
 
--- a/src/libentry/entrydaemon.h
+++ b/src/libentry/entrydaemon.h
@@ -20,7 +20,7 @@
   struct Settings
   {
     EntryCore::Settings core;
-    PeerLinks::Settings links;
+    PeerConnections::Settings links;
     /// The address where other daemons connect.
     Address peerAddress;
     std::vector<Address> seeds;
@@ -36,7 +36,7 @@
   std::optional<Problem> start();
 
   /// The address of another daemon was read from the platform.
-  void memberRead(const Address& address);
+  void peerAddressRead(const Address& address);
 
   EntryCore& core() { return m_core; }
 
@@ -45,13 +45,13 @@
 
 private:
   EntryCore::Links linkFunctions();
-  PeerLinks::Hooks linkHooks();
-  void tickLater();
+  PeerConnections::Hooks linkHooks();
+  void scheduleTick();
 
   boost::asio::io_context& m_context;
   const Settings m_settings;
   const std::function<void(TimePoint)> m_ticked;
-  PeerLinks m_links;
+  PeerConnections m_links;
   EntryCore m_core;
   boost::asio::steady_timer m_timer;
 };
--- a/src/libentry/entrymetrics.cpp
+++ b/src/libentry/entrymetrics.cpp
@@ -100,14 +100,14 @@
   const auto set = [this](const char* what, double value) {
     m_families->gauges.Add({ { "what", what } }).Set(value);
   };
-  const EntryCore::Figures figures = core.figures();
+  const EntryCore::Stats figures = core.stats();
   set("configuration_version", double(figures.configurationVersion));
   set("configuration_version_newest",
       double(figures.newestConfigurationVersion));
   set("callers_waiting", double(figures.callersWaiting));
   set("jobs_scheduled", double(figures.jobsScheduled));
   set("tasks_waiting", double(figures.tasksWaiting));
-  set("spare_places", figures.sparePlaces);
+  set("spare_places", figures.spareSlots);
   set("shards_held", double(figures.shardsHeld));
   set("peers_up", double(figures.peersUp));
   set("evacuated_zones", double(figures.evacuatedZones));
--- a/src/libentry/gateway.cpp
+++ b/src/libentry/gateway.cpp
@@ -14,10 +14,10 @@
 {
 }
 
-Gateway::Ticket
-Gateway::submit(JobSubmission submission, Done done, TimePoint now)
+Gateway::CallerId
+Gateway::submit(JobSubmission submission, AnswerCallback done, TimePoint now)
 {
-  const Ticket callerId = ++m_lastCallerId;
+  const CallerId callerId = ++m_lastCallerId;
   const auto known = m_numberByJob.find(submission.job);
   if (known != m_numberByJob.end()) {
     Entry& entry = m_jobs.at(known->second);
@@ -32,7 +32,7 @@
   entry.arrivedAt = now;
   entry.expiresAt = now + submission.timeLeft;
   entry.longRunningFrom =
-    std::max(now, now - submission.unreadFor + m_settings.tellAfter);
+    std::max(now, now - submission.maxReadDelay + m_settings.advertiseAfter);
   entry.callers[callerId] = std::move(done);
   entry.submission = std::move(submission);
   entry.exclusiveUntil = exclusiveUntilIfUnadvertised(entry);
@@ -41,14 +41,14 @@
   Part& part = addPart(entry);
   for (TaskIndex task = 0; task < entry.submission.taskCount; ++task)
     part.tasks.insert(task);
-  begin(entry, now);
+  submitOrHold(entry, now);
   return callerId;
 }
 
 /// Submits a job unless runs of an earlier submission may go on. In that case,
 /// holds the job or recalls the earlier submission from the daemon that has it.
 void
-Gateway::begin(Entry& entry, TimePoint now)
+Gateway::submitOrHold(Entry& entry, TimePoint now)
 {
   const JobId job = entry.submission.job;
   const auto abandoned = m_abandoned.find(job);
@@ -56,13 +56,13 @@
     hold(entry, abandoned->second, now);
     return;
   }
-  const auto place = m_hooks.underWayAt(job);
+  const auto place = m_hooks.inProgressAt(job);
   if (!place) {
     placeUnassignedParts(entry, now);
     return;
   }
   if (!place->daemon) {
-    hold(entry, place->overAt, now);
+    hold(entry, place->orphansEndAt, now);
     return;
   }
   entry.heldUntil.reset();
@@ -112,7 +112,7 @@
 }
 
 void
-Gateway::callerGone(Ticket callerId, TimePoint now)
+Gateway::callerDisconnected(CallerId callerId, TimePoint now)
 {
   const auto number = m_jobByCaller.find(callerId);
   if (number == m_jobByCaller.end())
@@ -123,14 +123,14 @@
   if (!entry.callers.empty())
     return;
   logCallers("caller-gone", entry, now);
-  forget(entry, now);
+  cancelAndRemove(entry, now);
 }
 
 void
-Gateway::ended(const VmId& from,
-               const JobKey& key,
-               const JobEnd& end,
-               TimePoint now)
+Gateway::partEnded(const VmId& from,
+                   const JobKey& key,
+                   const JobEnd& end,
+                   TimePoint now)
 {
   const auto [entry, part] = find(from, key);
   if (!part)
@@ -167,31 +167,31 @@
 }
 
 void
-Gateway::returned(const VmId& from,
-                  const JobKey& key,
-                  const TasksReturned& returned,
-                  TimePoint now)
+Gateway::tasksReturned(const VmId& from,
+                       const JobKey& key,
+                       const TasksReturned& returned,
+                       TimePoint now)
 {
   const auto [entry, part] = find(from, key);
   if (!part)
     return;
   Part& other = addPart(*entry);
   other.firstRun = std::max(part->firstRun, returned.nextRun);
-  other.mayBeReturned = false;
+  other.allowsReturn = false;
   other.crashes = returned.crashes;
   for (const TaskIndex task : returned.tasks) {
     if (part->tasks.erase(task) > 0)
       other.tasks.insert(task);
   }
   entry->isSplit = true;
-  other.isSuggested = !returned.holder.isEmpty();
-  if (!other.isSuggested ||
+  other.wasReferred = !returned.holder.isEmpty();
+  if (!other.wasReferred ||
       !submitPart(*entry, other, returned.holder, returned.shard, now))
     place(*entry, other, now);
 }
 
 void
-Gateway::daemonLost(const VmId& vm, TimePoint now)
+Gateway::peerLost(const VmId& vm, TimePoint now)
 {
   std::vector<Entry*> recalled;
   for (auto& [number, entry] : m_jobs) {
@@ -204,17 +204,17 @@
     }
   }
   for (Entry* entry : recalled)
-    hold(*entry, now + m_settings.lostRunLimit, now);
+    hold(*entry, now + m_settings.maxOrphanedRun, now);
 }
 
 void
 Gateway::markOrphaned(Part& part, TimePoint now) const
 {
   const bool hasEarlierOrphans =
-    part.orphanedAt && now - *part.orphanedAt < m_settings.lostRunLimit;
-  part.underWay.reset();
+    part.orphanedAt && now - *part.orphanedAt < m_settings.maxOrphanedRun;
+  part.activeTasks.reset();
   part.orphanWorkers.reset();
-  const auto workers = m_hooks.workers(*part.holder, part.shard);
+  const auto workers = m_hooks.workersDigest(*part.holder, part.shard);
   if (workers && !hasEarlierOrphans)
     part.orphanWorkers = ShardWorkers{ part.shard, *workers };
   part.orphanedAt = now;
@@ -240,7 +240,7 @@
     } else if (!entry.isAdvertised && now >= unadvertisedDeadline(entry)) {
       endUnadvertised(entry, now);
     } else if (isRetryDue(entry, now)) {
-      begin(entry, now);
+      submitOrHold(entry, now);
     } else if (!entry.heldUntil && !entry.recallSentTo) {
       placeUnassignedParts(entry, now);
     }
@@ -251,14 +251,15 @@
 void
 Gateway::markAdvertisedJobs(TimePoint now)
 {
-  if (!hasUntoldJobs(now))
+  if (!hasUnadvertisedJobs(now))
     return;
-  const TimePoint toldUntil = m_hooks.toldUntil();
+  const TimePoint advertisedUntil = m_hooks.advertisedUntil();
   for (auto& [number, entry] : m_jobs) {
     const bool isExclusivityOver =
       mayHaveRuns(entry) && now >= entry.exclusiveUntil;
     if (!entry.isAdvertised && !isExclusivityOver &&
-        now >= entry.longRunningFrom && toldUntil >= entry.longRunningFrom)
+        now >= entry.longRunningFrom &&
+        advertisedUntil >= entry.longRunningFrom)
       markAdvertised(entry);
   }
 }
@@ -269,14 +270,14 @@
   entry.isAdvertised = true;
   for (const auto& [id, part] : entry.parts) {
     if (part.holder)
-      m_hooks.keep(*part.holder, part.key);
+      m_hooks.confirmAdvertised(*part.holder, part.key);
   }
 }
 
-std::vector<LongJob>
-Gateway::longJobs(TimePoint now) const
+std::vector<LongRunningJob>
+Gateway::longRunningJobs(TimePoint now) const
 {
-  std::vector<LongJob> jobs;
+  std::vector<LongRunningJob> jobs;
   for (const auto& [number, entry] : m_jobs) {
     if (now >= entry.longRunningFrom)
       jobs.push_back({ entry.submission.job, ageOf(entry, now) });
@@ -289,7 +290,7 @@
 }
 
 bool
-Gateway::hasUntoldJobs(TimePoint now) const
+Gateway::hasUnadvertisedJobs(TimePoint now) const
 {
   return std::any_of(m_jobs.begin(), m_jobs.end(), [now](const auto& item) {
     return !item.second.isAdvertised && now >= item.second.longRunningFrom;
@@ -297,7 +298,7 @@
 }
 
 void
-Gateway::tellAnew(TimePoint exclusiveUntil)
+Gateway::advertiseAgain(TimePoint exclusiveUntil)
 {
   for (auto& [number, entry] : m_jobs) {
     if (entry.isAdvertised)
@@ -310,9 +311,11 @@
 }
 
 void
-Gateway::told(const VmId& from, const std::vector<LongJob>& jobs, TimePoint now)
+Gateway::longRunningJobsReceived(const VmId& from,
+                                 const std::vector<LongRunningJob>& jobs,
+                                 TimePoint now)
 {
-  for (const LongJob& other : jobs) {
+  for (const LongRunningJob& other : jobs) {
     const auto known = m_numberByJob.find(other.job);
     if (known == m_numberByJob.end())
       continue;
@@ -335,7 +338,7 @@
 Duration
 Gateway::ageOf(const Entry& entry, TimePoint now)
 {
-  return now - entry.arrivedAt + entry.submission.unreadFor;
+  return now - entry.arrivedAt + entry.submission.maxReadDelay;
 }
 
 /// Whether it is time to look up again where an earlier submission is in
@@ -353,7 +356,7 @@
 TimePoint
 Gateway::exclusiveUntilIfUnadvertised(const Entry& entry)
 {
-  return entry.arrivedAt - entry.submission.unreadFor + wantedRunLimit;
+  return entry.arrivedAt - entry.submission.maxReadDelay + maxRunAfterContact;
 }
 
 /// Whether any task of a job may be running.
@@ -371,7 +374,7 @@
 TimePoint
 Gateway::unadvertisedDeadline(const Entry& entry) const
 {
-  const TimePoint end = entry.exclusiveUntil - m_settings.untoldMargin;
+  const TimePoint end = entry.exclusiveUntil - m_settings.unadvertisedMargin;
   return mayHaveRuns(entry)
            ? end
            : std::max(end, entry.longRunningFrom + m_settings.advertiseLimit);
@@ -384,7 +387,7 @@
   logCallers("job-untold", entry, now);
   if (mayHaveRuns(entry))
     finish(entry,
-           { JobAnswer::Kind::Unknown, m_settings.lostRunLimit, reason },
+           { JobAnswer::Kind::Unknown, m_settings.maxOrphanedRun, reason },
            now);
   else
     finish(entry,
@@ -393,23 +396,25 @@
 }
 
 Duration
-Gateway::recall(const VmId& from, const PeerRecall& recall, TimePoint now)
+Gateway::recallReceived(const VmId& from,
+                        const PeerRecall& recall,
+                        TimePoint now)
 {
-  Duration overIn = Duration::zero();
+  Duration endedWithin = Duration::zero();
   const auto known = m_numberByJob.find(recall.job);
   if (known != m_numberByJob.end()) {
     Entry& entry = m_jobs.at(known->second);
     if (ageOf(entry, now) < recall.age)
-      return m_settings.lostRunLimit;
+      return m_settings.maxOrphanedRun;
     logDecision(LogLevel::Info,
                 "job-recalled",
                 { { "job", recall.job },
                   { "by", from },
                   { "ageMs", toMilliseconds(now - entry.arrivedAt) } });
     if (entry.recallSentTo)
-      overIn = m_settings.lostRunLimit;
+      endedWithin = m_settings.maxOrphanedRun;
     else if (entry.heldUntil)
-      overIn = *entry.heldUntil - now;
+      endedWithin = *entry.heldUntil - now;
     finish(entry,
            { JobAnswer::Kind::Unknown,
              Duration::zero(),
@@ -418,15 +423,15 @@
   }
   const auto abandoned = m_abandoned.find(recall.job);
   return abandoned == m_abandoned.end()
-           ? overIn
-           : std::max(overIn, abandoned->second - now);
+           ? endedWithin
+           : std::max(endedWithin, abandoned->second - now);
 }
 
 void
-Gateway::recalled(const VmId& from,
-                  const JobId& job,
-                  Duration overIn,
-                  TimePoint now)
+Gateway::recallAcknowledged(const VmId& from,
+                            const JobId& job,
+                            Duration endedWithin,
+                            TimePoint now)
 {
   const auto known = m_numberByJob.find(job);
   if (known == m_numberByJob.end())
@@ -434,10 +439,10 @@
   Entry& entry = m_jobs.at(known->second);
   if (entry.recallSentTo != from)
     return;
-  if (overIn > Duration::zero())
-    hold(entry, now + overIn, now);
+  if (endedWithin > Duration::zero())
+    hold(entry, now + endedWithin, now);
   else
-    begin(entry, now);
+    submitOrHold(entry, now);
 }
 
 IdList
@@ -512,15 +517,15 @@
 }
 
 /// A job that is refused as a whole has not run. Another shard may have free
-/// places, because load and workers are spread unevenly over the zones. So the
-/// caller is refused only when the shards with the most free places have been
-/// asked and no other one advertises free places. A refused part of a split job
+/// slots, because load and workers are spread unevenly over the zones. So the
+/// caller is refused only when the shards with the most free slots have been
+/// asked and no other one advertises free slots. A refused part of a split job
 /// goes back to a holder in the job's own zone, which has to queue it.
 void
 Gateway::partRefused(Entry& entry, Part& part, const JobEnd& end, TimePoint now)
 {
   part.holder.reset();
-  part.isSuggested = false;
+  part.wasReferred = false;
   if (entry.isSplit || part.orphanedAt) {
     place(entry, part, now);
     return;
@@ -548,7 +553,7 @@
   part.firstRun = std::max(part.firstRun, end.nextRun);
   part.crashes = end.crashes;
   markOrphaned(part, now);
-  part.underWay = end.underWay;
+  part.activeTasks = end.activeTasks;
   place(entry, part, now);
 }
 
@@ -560,7 +565,7 @@
   const bool mayRefuse = !part.orphanedAt && !entry.isSplit;
   if (isPlaced || !mayRefuse)
     return;
-  if (m_hooks.areAllEvacuated()) {
+  if (m_hooks.areAllZonesEvacuated()) {
     finish(entry,
            { JobAnswer::Kind::NotRun,
              m_settings.evacuatedRetryAfter,
@@ -591,9 +596,9 @@
 bool
 Gateway::placeOnBestHolder(Entry& entry, Part& part, TimePoint now)
 {
-  part.isSuggested = false;
+  part.wasReferred = false;
   const auto best = m_hooks.bestHolder(part.refusedBy);
-  if (!best || !mayAsk(part, *best) ||
+  if (!best || !mayTry(part, *best) ||
       !submitPart(entry, part, best->holder, best->shard, now))
     return false;
   logEvent(LogLevel::Info,
@@ -602,7 +607,7 @@
              { "tasks", part.tasks.size() },
              { "holder", best->holder },
              { "shard", best->shard.toString() },
-             { "places", best->places },
+             { "places", best->freeSlots },
              { "placesAgeMs", toMilliseconds(best->age) },
              { "ageMs", toMilliseconds(now - entry.arrivedAt) } });
   return true;
@@ -610,9 +615,10 @@
 
 /// Whether a holder may be asked although others have refused the job.
 bool
-Gateway::mayAsk(const Part& part, const HolderChoice& choice) const
+Gateway::mayTry(const Part& part, const HolderChoice& choice) const
 {
-  return part.refusedBy.size() < m_settings.mostAsked || choice.places > 0;
+  return part.refusedBy.size() < m_settings.maxShardsAsked ||
+         choice.freeSlots > 0;
 }
 
 /// A part whose holder was lost goes to the next holder of the same workers,
@@ -621,11 +627,11 @@
 bool
 Gateway::placeAfterLoss(Entry& entry, Part& part, TimePoint now)
 {
-  if (const auto next = m_hooks.nextHolder(part.shard)) {
+  if (const auto next = m_hooks.currentHolder(part.shard)) {
     if (submitPart(entry, part, next->holder, next->shard, now))
       return true;
   }
-  const bool isOver = now - *part.orphanedAt >= m_settings.lostRunLimit;
+  const bool isOver = now - *part.orphanedAt >= m_settings.maxOrphanedRun;
   return isOver && placeOnBestHolder(entry, part, now);
 }
 
@@ -650,19 +656,19 @@
   request.timeLeft = entry.expiresAt - now;
   if (!entry.isAdvertised)
     request.exclusiveFor = entry.exclusiveUntil - now;
-  request.mayBeReturned = part.mayBeReturned;
+  request.allowsReturn = part.allowsReturn;
   request.shard = shard;
-  // A holder that was named for its free places may refuse. Any other holder
+  // A holder that was named for its free slots may refuse. Any other holder
   // queues the part of a split job.
-  const bool mayRefuse = !entry.isSplit || part.isSuggested;
+  const bool mayRefuse = !entry.isSplit || part.wasReferred;
   request.mayHaveRun = part.orphanedAt || !mayRefuse;
   const Duration orphanedFor =
     part.orphanedAt ? now - *part.orphanedAt : Duration::zero();
-  if (part.orphanedAt && orphanedFor < m_settings.lostRunLimit)
+  if (part.orphanedAt && orphanedFor < m_settings.maxOrphanedRun)
     request.quarantine = Quarantine{ part.orphanWorkers,
                                      orphanedFor,
-                                     m_settings.lostRunLimit - orphanedFor,
-                                     part.underWay };
+                                     m_settings.maxOrphanedRun - orphanedFor,
+                                     part.activeTasks };
   if (!m_hooks.submit(vm, request))
     return false;
   m_partByKey.erase(part.key.part());
@@ -679,7 +685,7 @@
                   { "part", request.key.part() },
                   { "previousPart", request.previousPart },
                   { "tasks", request.tasks.size() },
-                  { "cause", part.underWay ? "moved" : "holder-lost" },
+                  { "cause", part.activeTasks ? "moved" : "holder-lost" },
                   { "sinceLossMs", toMilliseconds(orphanedFor) } });
   return true;
 }
@@ -687,8 +693,8 @@
 void
 Gateway::finish(Entry& entry, const JobAnswer& answer, TimePoint now)
 {
-  const std::map<Ticket, Done> callers = std::move(entry.callers);
-  forget(entry, now);
+  const std::map<CallerId, AnswerCallback> callers = std::move(entry.callers);
+  cancelAndRemove(entry, now);
   for (const auto& [callerId, done] : callers)
     m_jobByCaller.erase(callerId);
   for (const auto& [callerId, done] : callers)
@@ -697,14 +703,14 @@
 
 /// Cancels the parts that holders still have, and removes the job.
 void
-Gateway::forget(Entry& entry, TimePoint now)
+Gateway::cancelAndRemove(Entry& entry, TimePoint now)
 {
   for (const auto& [id, part] : entry.parts) {
     m_partByKey.erase(part.key.part());
     if (part.holder)
       m_hooks.cancel(*part.holder, part.key);
     if (part.holder || part.orphanedAt)
-      m_abandoned[entry.submission.job] = now + m_settings.lostRunLimit;
+      m_abandoned[entry.submission.job] = now + m_settings.maxOrphanedRun;
   }
   m_numberByJob.erase(entry.submission.job);
   m_jobs.erase(entry.number);
--- a/src/libentry/gateway.h
+++ b/src/libentry/gateway.h
@@ -32,7 +32,7 @@
   Duration timeLeft = Duration::zero();
   /// Upper bound on how long the request waited in the socket before it was
   /// read.
-  Duration unreadFor = Duration::zero();
+  Duration maxReadDelay = Duration::zero();
 };
 
 /// The answer to a caller.
@@ -75,13 +75,13 @@
     /// ideal response time.
     double holderWaitShare = 0.25;
     /// How many shards may refuse a job before it is refused to the caller.
-    /// Shards whose holder advertises free places are asked beyond this limit.
+    /// Shards whose holder advertises free slots are asked beyond this limit.
     /// The load is highest when jobs are refused: asking every one of many
     /// shards, at some 700 bytes each, took more of the network links than the
     /// jobs that were served.
-    std::size_t mostAsked = 4;
+    std::size_t maxShardsAsked = 4;
     /// How long orphaned runs of a lost daemon may go on.
-    Duration lostRunLimit = cowslippin::lostRunLimit;
+    Duration maxOrphanedRun = cowslippin::maxOrphanedRun;
     /// Retry delay given to a caller whose job is refused because no daemon
     /// holds workers.
     Duration noHolderRetryAfter = std::chrono::milliseconds(500);
@@ -90,11 +90,11 @@
     Duration evacuatedRetryAfter = std::chrono::seconds(2);
     /// Jobs that have been in progress for this long are advertised to the
     /// peers. Most jobs end earlier.
-    Duration tellAfter = std::chrono::milliseconds(450);
+    Duration advertiseAfter = std::chrono::milliseconds(450);
     /// A job that can't be advertised to the peers ends this long before its
     /// caller may have submitted it again, because its holder has to be told to
     /// stop it.
-    Duration untoldMargin = std::chrono::milliseconds(90);
+    Duration unadvertisedMargin = std::chrono::milliseconds(90);
     /// A job of which no task was started is refused if it can't be advertised
     /// to the peers for this long.
     Duration advertiseLimit = std::chrono::milliseconds(500);
@@ -109,89 +109,95 @@
     /// Returns the reachable holder of a shard. If the shard has been divided
     /// into other shards since, returns the holder of one that has some of its
     /// workers.
-    std::function<std::optional<HolderChoice>(const ShardId&)> nextHolder;
+    std::function<std::optional<HolderChoice>(const ShardId&)> currentHolder;
     /// Chooses a holder for a new job among the shards that haven't refused it.
-    /// Prefers this daemon's zone, then free places.
+    /// Prefers this daemon's zone, then free slots.
     std::function<std::optional<HolderChoice>(
       const std::set<ShardId>& refusedBy)>
       bestHolder;
     /// Whether operators have evacuated the zones of all workers, so that
     /// waiting for a holder is pointless.
-    std::function<bool()> areAllEvacuated;
+    std::function<bool()> areAllZonesEvacuated;
     /// The digest of a shard's workers as its holder last reported it, if it
     /// did.
     std::function<std::optional<ShardDigest>(const VmId&, const ShardId&)>
-      workers;
+      workersDigest;
     /// Submits a job to a daemon, which may be this one. Returns false if that
     /// daemon can't be reached.
     std::function<bool(const VmId&, const JobRequest&)> submit;
     std::function<void(const VmId&, const JobKey&)> cancel;
     /// Tells a holder that the peers know where the job is in progress, so that
     /// the holder needn't stop it when `JobRequest::exclusiveFor` runs out.
-    std::function<void(const VmId&, const JobKey&)> keep;
-    /// The time, by this daemon's clock, of the newest `longJobs` advertisement
-    /// that has reached every daemon where callers may submit a job again.
-    std::function<TimePoint()> toldUntil;
+    std::function<void(const VmId&, const JobKey&)> confirmAdvertised;
+    /// The time, by this daemon's clock, of the newest `longRunningJobs`
+    /// advertisement that has reached every daemon where callers may submit a
+    /// job again.
+    std::function<TimePoint()> advertisedUntil;
     /// Where a job is in progress for a caller of another daemon, or was when
     /// that daemon was lost.
-    std::function<std::optional<KnownJobs::Place>(const JobId&)> underWayAt;
+    std::function<std::optional<PeerJobs::Location>(const JobId&)> inProgressAt;
     /// Recalls a job: asks a daemon to stop its earlier submission of that job.
     std::function<void(const VmId&, const PeerRecall&)> recall;
   };
 
-  using Done = std::function<void(const JobAnswer&)>;
+  using AnswerCallback = std::function<void(const JobAnswer&)>;
   /// Identifies a waiting caller.
-  using Ticket = std::uint64_t;
+  using CallerId = std::uint64_t;
 
   Gateway(VmId self, Settings settings, Hooks hooks);
 
   /// Adds a caller. If the job is already in progress here, the caller joins it
   /// and gets the same answer; no second job is started.
-  Ticket submit(JobSubmission submission, Done done, TimePoint now);
+  CallerId submit(JobSubmission submission, AnswerCallback done, TimePoint now);
   /// The caller has disconnected before it was answered. The job is cancelled
   /// if no other caller waits for it.
-  void callerGone(Ticket callerId, TimePoint now);
+  void callerDisconnected(CallerId callerId, TimePoint now);
 
   /// A holder reports how a job, or its part of one, has ended.
-  void ended(const VmId& from,
-             const JobKey& key,
-             const JobEnd& end,
-             TimePoint now);
-  /// A holder returns tasks for which it has no free places. It may name
+  void partEnded(const VmId& from,
+                 const JobKey& key,
+                 const JobEnd& end,
+                 TimePoint now);
+  /// A holder returns tasks for which it has no free slots. It may name
   /// another holder that has some.
-  void returned(const VmId& from,
-                const JobKey& key,
-                const TasksReturned& returned,
-                TimePoint now);
+  void tasksReturned(const VmId& from,
+                     const JobKey& key,
+                     const TasksReturned& returned,
+                     TimePoint now);
   /// A daemon can no longer be reached. The parts that it had fail over.
-  void daemonLost(const VmId& vm, TimePoint now);
+  void peerLost(const VmId& vm, TimePoint now);
   /// The jobs to advertise to the peers: those that have been in progress for
-  /// `tellAfter`, and abandoned ones whose runs may still be stopping.
-  std::vector<LongJob> longJobs(TimePoint now) const;
+  /// `advertiseAfter`, and abandoned ones whose runs may still be stopping.
+  std::vector<LongRunningJob> longRunningJobs(TimePoint now) const;
   /// A peer advertises its own long-running jobs. If one is in progress here
   /// too and the peer's submission is the older one, it is recalled from the
   /// peer, because its caller has left that peer.
-  void told(const VmId& from, const std::vector<LongJob>& jobs, TimePoint now);
+  void longRunningJobsReceived(const VmId& from,
+                               const std::vector<LongRunningJob>& jobs,
+                               TimePoint now);
   /// Whether any long-running job has yet to be advertised to some peer.
-  bool hasUntoldJobs(TimePoint now) const;
+  bool hasUnadvertisedJobs(TimePoint now) const;
   /// A peer recalls a job from here, because it has received the job again.
   /// Stops the submission here unless it is the later one. Returns how long the
   /// runs of the job may go on.
-  Duration recall(const VmId& from, const PeerRecall& recall, TimePoint now);
-  /// A daemon acknowledges a recall: its runs of the job end within `overIn`.
-  void recalled(const VmId& from,
-                const JobId& job,
-                Duration overIn,
-                TimePoint now);
+  Duration recallReceived(const VmId& from,
+                          const PeerRecall& recall,
+                          TimePoint now);
+  /// A daemon acknowledges a recall: its runs of the job end within
+  /// `endedWithin`.
+  void recallAcknowledged(const VmId& from,
+                          const JobId& job,
+                          Duration endedWithin,
+                          TimePoint now);
   /// Treats all jobs as not yet advertised, because the peers may have lost the
   /// advertisements. The jobs that had been advertised stop being exclusive at
   /// the given time unless they are advertised again.
-  void tellAnew(TimePoint exclusiveUntil);
+  void advertiseAgain(TimePoint exclusiveUntil);
   /// Looks for holders and ends jobs that have run out of time. To be called
   /// every 20 ms, and when a shard has changed its holder.
   void tick(TimePoint now);
 
-  std::size_t waiting() const { return m_jobs.size(); }
+  std::size_t jobCount() const { return m_jobs.size(); }
   /// The daemons that have a part of any job.
   std::set<VmId> holders() const;
   /// The jobs of which this holder has a part.
@@ -220,14 +226,14 @@
     std::optional<ShardWorkers> orphanWorkers;
     /// The tasks that may still be running since then, if the holder that gave
     /// the part up has listed them.
-    std::optional<std::vector<TaskPlace>> underWay;
+    std::optional<std::vector<TaskLocation>> activeTasks;
     /// Whether the holder may return tasks and name another holder. It may do
     /// so once.
-    bool mayBeReturned = true;
+    bool allowsReturn = true;
     /// The part was submitted to a holder that another holder named. This one
     /// may refuse it.
-    bool isSuggested = false;
-    /// Shards whose holders refused the part for lack of free places, and the
+    bool wasReferred = false;
+    /// Shards whose holders refused the part for lack of free slots, and the
     /// shortest time after which one of them expects some.
     std::set<ShardId> refusedBy;
     Duration retryAfter = Duration::max();
@@ -237,7 +243,7 @@
   {
     std::uint64_t number = 0;
     JobSubmission submission;
-    std::map<Ticket, Done> callers;
+    std::map<CallerId, AnswerCallback> callers;
     TimePoint arrivedAt{};
     TimePoint expiresAt{};
     std::map<std::uint64_t, Part> parts;
@@ -266,7 +272,7 @@
   void logCallers(const char* event, const Entry& entry, TimePoint now) const;
   PartRef find(const VmId& from, const JobKey& key);
   Part& addPart(Entry& entry);
-  void begin(Entry& entry, TimePoint now);
+  void submitOrHold(Entry& entry, TimePoint now);
   void hold(Entry& entry, TimePoint until, TimePoint now);
   void placeUnassignedParts(Entry& entry, TimePoint now);
   void sendRecall(const VmId& vm, const Entry& entry, TimePoint now);
@@ -285,7 +291,7 @@
   void place(Entry& entry, Part& part, TimePoint now);
   bool isHolderWaitOver(const Entry& entry, TimePoint now) const;
   bool placeOnBestHolder(Entry& entry, Part& part, TimePoint now);
-  bool mayAsk(const Part& part, const HolderChoice& choice) const;
+  bool mayTry(const Part& part, const HolderChoice& choice) const;
   bool placeAfterLoss(Entry& entry, Part& part, TimePoint now);
   bool submitPart(Entry& entry,
                   Part& part,
@@ -293,7 +299,7 @@
                   const ShardId& shard,
                   TimePoint now);
   void finish(Entry& entry, const JobAnswer& answer, TimePoint now);
-  void forget(Entry& entry, TimePoint now);
+  void cancelAndRemove(Entry& entry, TimePoint now);
 
   const VmId m_self;
   const Settings m_settings;
@@ -302,13 +308,13 @@
   std::map<JobId, std::uint64_t> m_numberByJob;
   /// For each submitted key, the job number and the part id.
   std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>> m_partByKey;
-  std::map<Ticket, std::uint64_t> m_jobByCaller;
+  std::map<CallerId, std::uint64_t> m_jobByCaller;
   /// Jobs that were abandoned, and the time by which all their runs have ended.
   std::map<JobId, TimePoint> m_abandoned;
   std::uint64_t m_lastJob = 0;
   std::uint64_t m_lastPart = 0;
   std::uint64_t m_lastKey = 0;
-  Ticket m_lastCallerId = 0;
+  CallerId m_lastCallerId = 0;
 };
 
 } // namespace cowslippin
--- a/src/libentry/heartbeatplan.cpp
+++ b/src/libentry/heartbeatplan.cpp
@@ -12,9 +12,9 @@
 } // namespace
 
 std::vector<VmId>
-HeartbeatPlan::due(const std::set<VmId>& up,
-                   const std::set<VmId>& close,
-                   TimePoint now)
+HeartbeatSchedule::takeDuePeers(const std::set<VmId>& up,
+                                const std::set<VmId>& close,
+                                TimePoint now)
 {
   const auto isUpAndClose = [&](const VmId& peer) {
     return up.count(peer) > 0;
@@ -22,8 +22,8 @@
   const auto closeCount = static_cast<std::size_t>(
     std::count_if(close.begin(), close.end(), isUpAndClose));
   const std::size_t distantCount = up.size() - closeCount;
-  const std::size_t remaining = m_settings.perInterval > closeCount
-                                  ? m_settings.perInterval - closeCount
+  const std::size_t remaining = m_settings.maxPerInterval > closeCount
+                                  ? m_settings.maxPerInterval - closeCount
                                   : 0;
   const std::size_t distantPerInterval =
     std::max(remaining, m_settings.minDistantPerInterval);
@@ -49,7 +49,7 @@
 }
 
 Duration
-HeartbeatPlan::promise(const VmId& peer, bool isClose, TimePoint now)
+HeartbeatSchedule::scheduleNext(const VmId& peer, bool isClose, TimePoint now)
 {
   const auto [nextDue, isNew] = m_nextDueAt.try_emplace(peer);
   // A heartbeat that is sent out of turn doesn't move the peer's turn.
--- a/src/libentry/heartbeatplan.h
+++ b/src/libentry/heartbeatplan.h
@@ -19,7 +19,7 @@
 /// one in every interval, because their loss has to be detected soon for the
 /// callers of those jobs. The other peers take turns in what is left of the
 /// limit.
-class HeartbeatPlan
+class HeartbeatSchedule
 {
 public:
   struct Settings
@@ -29,28 +29,28 @@
     /// Maximum number of heartbeats in one interval, unless there are more
     /// close peers than that. A group with no more peers than this sends one to
     /// each peer in each interval.
-    std::size_t perInterval = 49;
+    std::size_t maxPerInterval = 49;
     /// Minimum number of peers that aren't close and are sent a heartbeat in
     /// one interval, however many peers are close.
     std::size_t minDistantPerInterval = 10;
   };
 
-  explicit HeartbeatPlan(Settings settings)
+  explicit HeartbeatSchedule(Settings settings)
     : m_settings(settings)
   {
   }
 
   /// Returns the peers to send a heartbeat to. To be called once in each
   /// interval. Drops the state of peers that are no longer connected.
-  std::vector<VmId> due(const std::set<VmId>& up,
-                        const std::set<VmId>& close,
-                        TimePoint now);
+  std::vector<VmId> takeDuePeers(const std::set<VmId>& up,
+                                 const std::set<VmId>& close,
+                                 TimePoint now);
   /// Whether each peer is sent a heartbeat in each interval.
   bool sendsToEachPeer() const { return m_intervalsPerTurn <= 1; }
 
   /// Schedules the next heartbeat of a peer that is sent one now. Returns the
   /// time within which that next one is sent.
-  Duration promise(const VmId& peer, bool isClose, TimePoint now);
+  Duration scheduleNext(const VmId& peer, bool isClose, TimePoint now);
 
 private:
   const Settings m_settings;
--- a/src/libentry/holderchoice.cpp
+++ b/src/libentry/holderchoice.cpp
@@ -16,17 +16,17 @@
   // The distance between the two grows with each round, so that every pair gets
   // compared.
   const HolderChoice& second = choices[(m_turn + round % count) % count];
-  return first.places >= second.places ? first : second;
+  return first.freeSlots >= second.freeSlots ? first : second;
 }
 
 std::optional<HolderChoice>
-HolderChooser::roomiest(const std::vector<HolderChoice>& localZone,
-                        const std::vector<HolderChoice>& otherZones)
+HolderChooser::mostFreeSlots(const std::vector<HolderChoice>& localZone,
+                             const std::vector<HolderChoice>& otherZones)
 {
   std::optional<HolderChoice> best;
   for (const auto* choices : { &localZone, &otherZones }) {
     for (const HolderChoice& choice : *choices) {
-      if (!best || choice.places > best->places)
+      if (!best || choice.freeSlots > best->freeSlots)
         best = choice;
     }
   }
--- a/src/libentry/holderchoice.h
+++ b/src/libentry/holderchoice.h
@@ -15,18 +15,18 @@
 {
   VmId holder;
   ShardId shard;
-  /// Free places, and the age of the holder's report of them.
-  unsigned places = 0;
+  /// Free slots, and the age of the holder's report of them.
+  unsigned freeSlots = 0;
   Duration age = Duration::zero();
 };
 
 /// Chooses the shard that a new job is submitted to first.
 ///
 /// The load is spread unevenly over the shards of a zone. So two shards are
-/// compared, taken in turn, and the one with more free places gets the job.
-/// Reports of free places are up to 140 ms old, longer than many tasks run, so
+/// compared, taken in turn, and the one with more free slots gets the job.
+/// Reports of free slots are up to 140 ms old, longer than many tasks run, so
 /// choosing the best of all shards would send every job to the same one. Shards
-/// of the job's own zone go first. Tasks that find no free place there are
+/// of the job's own zone go first. Tasks that find no free slot there are
 /// offered to other holders by their holder, which knows more about them.
 class HolderChooser
 {
@@ -38,9 +38,9 @@
     const std::vector<HolderChoice>& otherZones);
 
   /// Chooses a shard for a job that other shards have refused: the one whose
-  /// holder reported the most free places, and one of the local zone on a tie.
+  /// holder reported the most free slots, and one of the local zone on a tie.
   /// Returns nothing if there is no shard.
-  static std::optional<HolderChoice> roomiest(
+  static std::optional<HolderChoice> mostFreeSlots(
     const std::vector<HolderChoice>& localZone,
     const std::vector<HolderChoice>& otherZones);
 
--- a/src/libentry/holderlookup.cpp
+++ b/src/libentry/holderlookup.cpp
@@ -9,11 +9,11 @@
 HolderLookup::HolderLookup(VmId self,
                            ZoneName zone,
                            Sources sources,
-                           std::function<bool(const VmId&)> isUp)
+                           std::function<bool(const VmId&)> isConnected)
   : m_self(std::move(self))
   , m_zone(std::move(zone))
   , m_sources(sources)
-  , m_isUp(std::move(isUp))
+  , m_isConnected(std::move(isConnected))
 {
 }
 
@@ -21,7 +21,7 @@
 HolderLookup::reachable(const ShardId& shard) const
 {
   auto holder = m_sources.shards.holder(shard);
-  if (holder && *holder != m_self && !m_isUp(*holder))
+  if (holder && *holder != m_self && !m_isConnected(*holder))
     return std::nullopt;
   return holder;
 }
@@ -36,7 +36,7 @@
 }
 
 bool
-HolderLookup::areAllEvacuated() const
+HolderLookup::areAllZonesEvacuated() const
 {
   const auto shards = m_sources.shards.servedShards();
   return !shards.empty() &&
@@ -46,9 +46,9 @@
 }
 
 std::optional<HolderChoice>
-HolderLookup::next(const ShardId& shard, TimePoint now) const
+HolderLookup::currentHolder(const ShardId& shard, TimePoint now) const
 {
-  const ShardId present = m_sources.scheduler.presentShard(shard);
+  const ShardId present = m_sources.scheduler.currentShard(shard);
   for (const ShardId& candidate : { shard, present }) {
     if (const auto holder = reachable(candidate))
       return makeChoice(*holder, candidate, now);
@@ -57,7 +57,7 @@
 }
 
 std::optional<HolderChoice>
-HolderLookup::best(const std::set<ShardId>& refusedBy, TimePoint now)
+HolderLookup::bestHolder(const std::set<ShardId>& refusedBy, TimePoint now)
 {
   std::vector<HolderChoice> localZone;
   std::vector<HolderChoice> otherZones;
@@ -69,8 +69,9 @@
     auto& choices = shard.zone() == m_zone ? localZone : otherZones;
     choices.push_back(makeChoice(*holder, shard, now));
   }
-  return refusedBy.empty() ? m_chooser.choose(localZone, otherZones)
-                           : HolderChooser::roomiest(localZone, otherZones);
+  return refusedBy.empty()
+           ? m_chooser.choose(localZone, otherZones)
+           : HolderChooser::mostFreeSlots(localZone, otherZones);
 }
 
 HolderChoice
@@ -82,9 +83,9 @@
   choice.holder = holder;
   choice.shard = shard;
   if (holder == m_self) {
-    choice.places = m_sources.scheduler.sparePlaces(shard, now);
+    choice.freeSlots = m_sources.scheduler.spareSlots(shard, now);
   } else {
-    choice.places = m_sources.reports.places(holder, shard);
+    choice.freeSlots = m_sources.reports.freeSlots(holder, shard);
     choice.age = m_sources.reports.age(holder, now).value_or(Duration::zero());
   }
   return choice;
--- a/src/libentry/holderlookup.h
+++ b/src/libentry/holderlookup.h
@@ -25,11 +25,11 @@
     const PeerReports& reports;
   };
 
-  /// `isUp` tells whether a daemon can be reached; it must not be empty.
+  /// `isConnected` tells whether a daemon can be reached; it must not be empty.
   HolderLookup(VmId self,
                ZoneName zone,
                Sources sources,
-               std::function<bool(const VmId&)> isUp);
+               std::function<bool(const VmId&)> isConnected);
 
   /// The holder of a shard, if it can be reached.
   std::optional<VmId> reachable(const ShardId& shard) const;
@@ -38,16 +38,17 @@
   bool hasReachableHolder() const;
 
   /// Whether there are workers and all of them are in evacuated zones.
-  bool areAllEvacuated() const;
+  bool areAllZonesEvacuated() const;
 
   /// The reachable holder of a shard. If the shard's zone has been divided
   /// anew, the holder of the shard that has its workers now.
-  std::optional<HolderChoice> next(const ShardId& shard, TimePoint now) const;
+  std::optional<HolderChoice> currentHolder(const ShardId& shard,
+                                            TimePoint now) const;
 
   /// The holder for a new job, among shards that haven't refused it and whose
   /// zone isn't evacuated.
-  std::optional<HolderChoice> best(const std::set<ShardId>& refusedBy,
-                                   TimePoint now);
+  std::optional<HolderChoice> bestHolder(const std::set<ShardId>& refusedBy,
+                                         TimePoint now);
 
 private:
   HolderChoice makeChoice(const VmId& holder,
@@ -57,7 +58,7 @@
   const VmId m_self;
   const ZoneName m_zone;
   const Sources m_sources;
-  const std::function<bool(const VmId&)> m_isUp;
+  const std::function<bool(const VmId&)> m_isConnected;
   HolderChooser m_chooser;
 };
 
--- a/src/libentry/knownjobs.cpp
+++ b/src/libentry/knownjobs.cpp
@@ -9,7 +9,9 @@
 namespace cowslippin {
 
 void
-KnownJobs::told(const VmId& vm, const std::vector<LongJob>& jobs, TimePoint now)
+PeerJobs::update(const VmId& vm,
+                 const std::vector<LongRunningJob>& jobs,
+                 TimePoint now)
 {
   Peer& peer = m_peers[vm];
   if (peer.lostAt)
@@ -17,13 +19,13 @@
   peer.lostAt.reset();
   expire(now);
   peer.jobs.clear();
-  for (const LongJob& job : jobs)
+  for (const LongRunningJob& job : jobs)
     peer.jobs.insert(job.job);
   peer.reportedAt = now;
 }
 
 void
-KnownJobs::over(const VmId& vm, const JobId& job)
+PeerJobs::ended(const VmId& vm, const JobId& job)
 {
   const auto found = m_peers.find(vm);
   if (found != m_peers.end())
@@ -31,7 +33,7 @@
 }
 
 void
-KnownJobs::lost(const VmId& vm, TimePoint now)
+PeerJobs::peerLost(const VmId& vm, TimePoint now)
 {
   const auto found = m_peers.find(vm);
   if (found != m_peers.end())
@@ -39,39 +41,40 @@
   expire(now);
 }
 
-std::optional<KnownJobs::Place>
-KnownJobs::find(const JobId& job, TimePoint now) const
+std::optional<PeerJobs::Location>
+PeerJobs::find(const JobId& job, TimePoint now) const
 {
   TimePoint overAt = now;
   for (const auto& [vm, peer] : m_peers) {
     if (peer.jobs.count(job) == 0)
       continue;
     if (!peer.lostAt)
-      return Place{ vm, TimePoint() };
-    overAt = std::max(overAt, KnownJobs::overAt(peer));
+      return Location{ vm, TimePoint() };
+    overAt = std::max(overAt, PeerJobs::orphansEndAt(peer));
   }
   const auto orphan = m_orphanedUntil.find(job);
   if (orphan != m_orphanedUntil.end())
     overAt = std::max(overAt, orphan->second);
   if (overAt == now)
     return std::nullopt;
-  return Place{ std::nullopt, overAt };
+  return Location{ std::nullopt, overAt };
 }
 
 void
-KnownJobs::keepOrphans(const Peer& peer)
+PeerJobs::keepOrphans(const Peer& peer)
 {
   for (const JobId& job : peer.jobs) {
     TimePoint& orphan = m_orphanedUntil[job];
-    orphan = std::max(orphan, overAt(peer));
+    orphan = std::max(orphan, orphansEndAt(peer));
   }
 }
 
 void
-KnownJobs::expire(TimePoint now)
+PeerJobs::expire(TimePoint now)
 {
   for (auto peer = m_peers.begin(); peer != m_peers.end();) {
-    const bool isOver = peer->second.lostAt && now >= overAt(peer->second);
+    const bool isOver =
+      peer->second.lostAt && now >= orphansEndAt(peer->second);
     peer = isOver ? m_peers.erase(peer) : std::next(peer);
   }
   for (auto orphan = m_orphanedUntil.begin(); orphan != m_orphanedUntil.end();)
@@ -82,10 +85,11 @@
 /// When all runs of a lost peer have ended. A silent peer was alive until its
 /// next heartbeat was due at the latest, or it would have sent that heartbeat.
 TimePoint
-KnownJobs::overAt(const Peer& peer)
+PeerJobs::orphansEndAt(const Peer& peer)
 {
-  const TimePoint nextAt = peer.reportedAt + HeartbeatPlan::Settings().interval;
-  return std::min(peer.lostAt.value_or(nextAt), nextAt) + lostRunLimit;
+  const TimePoint nextAt =
+    peer.reportedAt + HeartbeatSchedule::Settings().interval;
+  return std::min(peer.lostAt.value_or(nextAt), nextAt) + maxOrphanedRun;
 }
 
 } // namespace cowslippin
--- a/src/libentry/knownjobs.h
+++ b/src/libentry/knownjobs.h
@@ -16,36 +16,41 @@
 /// A caller whose connection has broken may submit its job again here before
 /// the other daemon notices that the caller is gone. The class does no I/O and
 /// reads no clock.
-class KnownJobs
+class PeerJobs
 {
 public:
   /// Where a job is in progress.
-  struct Place
+  struct Location
   {
     /// The daemon that has the job and can be asked to stop it. Empty if that
     /// daemon was lost.
     std::optional<VmId> daemon;
     /// When all runs that the lost daemon left have ended.
-    TimePoint overAt{};
+    TimePoint orphansEndAt{};
 
-    friend bool operator==(const Place& a, const Place& b)
+    friend bool operator==(const Location& a, const Location& b)
     {
-      return a.daemon == b.daemon && a.overAt == b.overAt;
+      return a.daemon == b.daemon && a.orphansEndAt == b.orphansEndAt;
+    }
+    friend bool operator!=(const Location& a, const Location& b)
+    {
+      return !(a == b);
     }
-    friend bool operator!=(const Place& a, const Place& b) { return !(a == b); }
   };
 
   /// A peer advertises all its long-running jobs. Jobs that it advertised
   /// before and that are missing now have ended.
-  void told(const VmId& vm, const std::vector<LongJob>& jobs, TimePoint now);
+  void update(const VmId& vm,
+              const std::vector<LongRunningJob>& jobs,
+              TimePoint now);
   /// A peer has no runs of a job any more.
-  void over(const VmId& vm, const JobId& job);
+  void ended(const VmId& vm, const JobId& job);
   /// A peer can no longer be reached.
-  void lost(const VmId& vm, TimePoint now);
+  void peerLost(const VmId& vm, TimePoint now);
 
   /// Returns where a job is in progress; nothing if no other daemon can have
   /// it.
-  std::optional<Place> find(const JobId& job, TimePoint now) const;
+  std::optional<Location> find(const JobId& job, TimePoint now) const;
 
 private:
   struct Peer
@@ -55,7 +60,7 @@
     std::optional<TimePoint> lostAt;
   };
 
-  static TimePoint overAt(const Peer& peer);
+  static TimePoint orphansEndAt(const Peer& peer);
   void keepOrphans(const Peer& peer);
   void expire(TimePoint now);
 
--- a/src/libentry/memberlosses.cpp
+++ b/src/libentry/memberlosses.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 bool
-MemberLosses::isCutOff(std::size_t reachable, TimePoint now) const
+PeerLosses::mayBePartitioned(std::size_t reachable, TimePoint now) const
 {
   const auto lost =
     std::count_if(m_lost.begin(), m_lost.end(), [now](const auto& item) {
--- a/src/libentry/memberlosses.h
+++ b/src/libentry/memberlosses.h
@@ -11,15 +11,15 @@
 /// Peers that were lost and haven't come back. Tells whether this daemon may be
 /// partitioned from the larger part of the group, where its callers may submit
 /// their jobs again without its knowledge. It does no I/O and reads no clock.
-class MemberLosses
+class PeerLosses
 {
 public:
-  void lost(const VmId& vm, TimePoint now) { m_lost[vm] = now; }
-  void back(const VmId& vm) { m_lost.erase(vm); }
+  void peerLost(const VmId& vm, TimePoint now) { m_lost[vm] = now; }
+  void reconnected(const VmId& vm) { m_lost.erase(vm); }
 
   /// Whether the daemons that can be reached, this one included, are no more
   /// than those that were lost recently.
-  bool isCutOff(std::size_t reachable, TimePoint now) const;
+  bool mayBePartitioned(std::size_t reachable, TimePoint now) const;
 
 private:
   std::map<VmId, TimePoint> m_lost;
--- a/src/libentry/peercontact.cpp
+++ b/src/libentry/peercontact.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Minimum time between two acknowledgements. Holders send heartbeats more
-/// often than this when their free places change.
+/// often than this when their free slots change.
 constexpr Duration acknowledgementInterval = std::chrono::milliseconds(120);
 /// When the last contact is older than this, a heartbeat is sent out of turn:
 /// in a large group the peer's turn may be a long time off.
@@ -19,7 +19,7 @@
 } // namespace
 
 void
-PeerContact::beatReceived(const VmId& vm, SentAt sentAt, TimePoint now)
+PeerLiveness::heartbeatReceived(const VmId& vm, SentAt sentAt, TimePoint now)
 {
   Peer& peer = m_peers[vm];
   if (sentAt <= peer.newest)
@@ -28,8 +28,8 @@
   peer.newestAt = now;
 }
 
-PeerBeatAck
-PeerContact::acknowledgement(const VmId& vm) const
+PeerHeartbeatAck
+PeerLiveness::acknowledgement(const VmId& vm) const
 {
   const auto found = m_peers.find(vm);
   if (found == m_peers.end())
@@ -38,7 +38,7 @@
 }
 
 Duration
-PeerContact::acknowledgementAge(const VmId& vm, TimePoint now) const
+PeerLiveness::acknowledgementAge(const VmId& vm, TimePoint now) const
 {
   const auto found = m_peers.find(vm);
   return found == m_peers.end() || found->second.newest == 0
@@ -47,18 +47,20 @@
 }
 
 std::optional<TimePoint>
-PeerContact::sentAfter(const PeerBeatAck& ack, Duration ackAge, TimePoint now)
+PeerLiveness::sentAfter(const PeerHeartbeatAck& ack,
+                        Duration ackAge,
+                        TimePoint now)
 {
-  const TimePoint sentAfter = TimePoint(Duration(ack.newest)) + ackAge;
+  const TimePoint sentAfter = TimePoint(Duration(ack.newestReceived)) + ackAge;
   // A time in the future was sent before this machine was rebooted, when its
   // steady clock was ahead.
-  if (ack.newest == 0 || sentAfter > now + clockTolerance)
+  if (ack.newestReceived == 0 || sentAfter > now + clockTolerance)
     return std::nullopt;
   return std::min(sentAfter, now);
 }
 
-std::optional<PeerBeatAck>
-PeerContact::takeDue(const VmId& vm, TimePoint now)
+std::optional<PeerHeartbeatAck>
+PeerLiveness::takeDueAcknowledgement(const VmId& vm, TimePoint now)
 {
   const auto found = m_peers.find(vm);
   if (found == m_peers.end())
@@ -73,7 +75,7 @@
 }
 
 bool
-PeerContact::takeOutOfTurnRequest(const VmId& vm, TimePoint now)
+PeerLiveness::takeOutOfTurnRequest(const VmId& vm, TimePoint now)
 {
   Peer& peer = m_peers[vm];
   if (now - peer.contact <= outOfTurnAfter ||
@@ -84,27 +86,29 @@
 }
 
 void
-PeerContact::acknowledged(const VmId& vm, const PeerBeatAck& ack, TimePoint now)
+PeerLiveness::acknowledged(const VmId& vm,
+                           const PeerHeartbeatAck& ack,
+                           TimePoint now)
 {
-  const TimePoint settled{ Duration(ack.settled) };
-  const TimePoint newest{ Duration(ack.newest) };
+  const TimePoint settled{ Duration(ack.newestProcessed) };
+  const TimePoint newest{ Duration(ack.newestReceived) };
   // A time in the future was sent before this machine was rebooted, when its
   // steady clock was ahead.
   if (std::max(settled, newest) > now)
     return;
   Peer& peer = m_peers[vm];
   peer.contact = std::max(peer.contact, settled);
-  peer.toldUntil = std::max(peer.toldUntil, newest);
+  peer.advertisedUntil = std::max(peer.advertisedUntil, newest);
 }
 
 void
-PeerContact::lost(const VmId& vm)
+PeerLiveness::peerLost(const VmId& vm)
 {
   m_peers.erase(vm);
 }
 
 void
-PeerContact::tick(TimePoint now)
+PeerLiveness::tick(TimePoint now)
 {
   for (auto& [vm, peer] : m_peers) {
     peer.settled = peer.newestAtTick;
@@ -115,17 +119,17 @@
 }
 
 TimePoint
-PeerContact::lastContact(const VmId& vm) const
+PeerLiveness::lastContact(const VmId& vm) const
 {
   const auto found = m_peers.find(vm);
   return found == m_peers.end() ? TimePoint{} : found->second.contact;
 }
 
 TimePoint
-PeerContact::toldUntil(const VmId& vm) const
+PeerLiveness::advertisedUntil(const VmId& vm) const
 {
   const auto found = m_peers.find(vm);
-  return found == m_peers.end() ? TimePoint{} : found->second.toldUntil;
+  return found == m_peers.end() ? TimePoint{} : found->second.advertisedUntil;
 }
 
 } // namespace cowslippin
--- a/src/libentry/peercontact.h
+++ b/src/libentry/peercontact.h
@@ -24,37 +24,41 @@
 /// Therefore a daemon acknowledges a heartbeat only after a whole round of its
 /// event loop, from one tick to the next, in which everything that had arrived
 /// is read. The same holds for a daemon's own callers.
-class PeerContact
+class PeerLiveness
 {
 public:
   /// A time of the sender's steady clock, which has no meaning on other
   /// machines.
   using SentAt = std::int64_t;
 
-  explicit PeerContact(TimePoint now)
+  explicit PeerLiveness(TimePoint now)
     : m_tickAt(now)
     , m_previousTickAt(now)
   {
   }
 
-  static SentAt stamp(TimePoint now) { return now.time_since_epoch().count(); }
+  static SentAt toSentAt(TimePoint now)
+  {
+    return now.time_since_epoch().count();
+  }
 
   /// A heartbeat of a peer was read.
-  void beatReceived(const VmId& vm, SentAt sentAt, TimePoint now);
+  void heartbeatReceived(const VmId& vm, SentAt sentAt, TimePoint now);
   /// The acknowledgement to attach to a message that is sent to the peer
   /// anyway.
-  PeerBeatAck acknowledgement(const VmId& vm) const;
+  PeerHeartbeatAck acknowledgement(const VmId& vm) const;
   /// Returns the acknowledgement to send to the peer in a message of its own,
   /// and marks it as sent. Returns nothing if there is nothing new to
   /// acknowledge, or if one was sent shortly before.
-  std::optional<PeerBeatAck> takeDue(const VmId& vm, TimePoint now);
+  std::optional<PeerHeartbeatAck> takeDueAcknowledgement(const VmId& vm,
+                                                         TimePoint now);
   /// How long ago the newest heartbeat in the acknowledgement was read; zero if
   /// there is none.
   Duration acknowledgementAge(const VmId& vm, TimePoint now) const;
   /// The earliest time, by this daemon's clock, at which a message with the
   /// given acknowledgement was sent. Returns nothing if that can't be
   /// determined.
-  static std::optional<TimePoint> sentAfter(const PeerBeatAck& ack,
+  static std::optional<TimePoint> sentAfter(const PeerHeartbeatAck& ack,
                                             Duration ackAge,
                                             TimePoint now);
 
@@ -63,10 +67,10 @@
   bool takeOutOfTurnRequest(const VmId& vm, TimePoint now);
 
   /// A peer has acknowledged a heartbeat of this daemon.
-  void acknowledged(const VmId& vm, const PeerBeatAck& ack, TimePoint now);
+  void acknowledged(const VmId& vm, const PeerHeartbeatAck& ack, TimePoint now);
   /// The connection to a peer was lost. Heartbeats that it read over that
   /// connection no longer count.
-  void lost(const VmId& vm);
+  void peerLost(const VmId& vm);
 
   /// To be called about every 20 ms, after everything that had arrived before
   /// is read.
@@ -76,9 +80,9 @@
   /// were gone. The clock's epoch if it never acknowledged a heartbeat.
   TimePoint lastContact(const VmId& vm) const;
   /// The time at which the newest heartbeat that the peer has read was sent.
-  TimePoint toldUntil(const VmId& vm) const;
+  TimePoint advertisedUntil(const VmId& vm) const;
   /// The same as `lastContact` for this daemon and its own callers.
-  TimePoint ownContact() const { return m_previousTickAt; }
+  TimePoint ownCallersKnownUntil() const { return m_previousTickAt; }
 
 private:
   struct Peer
@@ -94,7 +98,7 @@
     TimePoint acknowledgedAt{};
     TimePoint outOfTurnAt{};
     TimePoint contact{};
-    TimePoint toldUntil{};
+    TimePoint advertisedUntil{};
   };
 
   std::map<VmId, Peer> m_peers;
--- a/src/libentry/peerreports.cpp
+++ b/src/libentry/peerreports.cpp
@@ -16,7 +16,7 @@
 }
 
 void
-PeerReports::received(const VmId& vm, const PeerBeat& beat, TimePoint now)
+PeerReports::received(const VmId& vm, const PeerHeartbeat& beat, TimePoint now)
 {
   Peer& peer = m_peers[vm];
   peer.reportedAt = now;
@@ -24,10 +24,10 @@
 }
 
 unsigned
-PeerReports::places(const VmId& holder, const ShardId& shard) const
+PeerReports::freeSlots(const VmId& holder, const ShardId& shard) const
 {
   const HeldShard* held = find(holder, shard);
-  return held ? held->places : 0;
+  return held ? held->freeSlots : 0;
 }
 
 std::optional<Duration>
@@ -40,12 +40,12 @@
 }
 
 std::optional<ShardDigest>
-PeerReports::workers(const VmId& holder, const ShardId& shard) const
+PeerReports::workersDigest(const VmId& holder, const ShardId& shard) const
 {
   const HeldShard* held = find(holder, shard);
   if (held == nullptr)
     return std::nullopt;
-  return held->workers;
+  return held->workersDigest;
 }
 
 const HeldShard*
--- a/src/libentry/peerreports.h
+++ b/src/libentry/peerreports.h
@@ -14,18 +14,18 @@
   void setZone(const VmId& vm, const ZoneName& zone);
   ZoneName zone(const VmId& vm) const;
 
-  void received(const VmId& vm, const PeerBeat& beat, TimePoint now);
+  void received(const VmId& vm, const PeerHeartbeat& beat, TimePoint now);
 
-  /// Free places of a shard by its holder's last report; 0 if the peer didn't
+  /// Free slots of a shard by its holder's last report; 0 if the peer didn't
   /// report the shard.
-  unsigned places(const VmId& holder, const ShardId& shard) const;
+  unsigned freeSlots(const VmId& holder, const ShardId& shard) const;
 
   /// The age of the peer's last report; nothing if there is none.
   std::optional<Duration> age(const VmId& vm, TimePoint now) const;
 
   /// The digest of a shard's workers by its holder's last report.
-  std::optional<ShardDigest> workers(const VmId& holder,
-                                     const ShardId& shard) const;
+  std::optional<ShardDigest> workersDigest(const VmId& holder,
+                                           const ShardId& shard) const;
 
 private:
   struct Peer
--- a/src/libentry/strainmeter.cpp
+++ b/src/libentry/strainmeter.cpp
@@ -10,13 +10,13 @@
 
 } // namespace
 
-StrainMeter::StrainMeter(Settings settings)
+CpuStarvationDetector::CpuStarvationDetector(Settings settings)
   : m_settings(settings)
 {
 }
 
 bool
-StrainMeter::ticked(TimePoint now)
+CpuStarvationDetector::tick(TimePoint now)
 {
   if (m_lastTickAt) {
     const Duration late = now - *m_lastTickAt - m_settings.tickInterval;
@@ -25,10 +25,10 @@
     m_lateness = Duration(static_cast<Duration::rep>(mean));
   }
   m_lastTickAt = now;
-  const bool wasCpuStarved = m_isStrained;
-  m_isStrained = m_lateness > (wasCpuStarved ? m_settings.recoveryLateness
-                                             : m_settings.starvedLateness);
-  return m_isStrained != wasCpuStarved;
+  const bool wasCpuStarved = m_isCpuStarved;
+  m_isCpuStarved = m_lateness > (wasCpuStarved ? m_settings.recoveryLateness
+                                               : m_settings.starvedLateness);
+  return m_isCpuStarved != wasCpuStarved;
 }
 
 } // namespace cowslippin
--- a/src/libentry/strainmeter.h
+++ b/src/libentry/strainmeter.h
@@ -8,7 +8,7 @@
 
 /// Detects CPU starvation: tells by the lateness of its ticks whether this
 /// process gets too little processor time for its work.
-class StrainMeter
+class CpuStarvationDetector
 {
 public:
   struct Settings
@@ -23,12 +23,12 @@
     Duration recoveryLateness = std::chrono::milliseconds(15);
   };
 
-  explicit StrainMeter(Settings settings);
+  explicit CpuStarvationDetector(Settings settings);
 
-  /// To be called at each tick. Returns true if `isStrained` has changed.
-  bool ticked(TimePoint now);
+  /// To be called at each tick. Returns true if `isCpuStarved` has changed.
+  bool tick(TimePoint now);
 
-  bool isStrained() const { return m_isStrained; }
+  bool isCpuStarved() const { return m_isCpuStarved; }
 
   /// Exponential moving average of how late the ticks come.
   Duration lateness() const { return m_lateness; }
@@ -37,7 +37,7 @@
   const Settings m_settings;
   std::optional<TimePoint> m_lastTickAt;
   Duration m_lateness = Duration::zero();
-  bool m_isStrained = false;
+  bool m_isCpuStarved = false;
 };
 
 } // namespace cowslippin
--- a/src/libentry/tokensource.cpp
+++ b/src/libentry/tokensource.cpp
@@ -25,27 +25,28 @@
 
 } // namespace
 
-TokenSource::TokenSource(std::function<std::int64_t()> timeOfDay,
-                         std::uint64_t processNumber)
+FencingTokenGenerator::FencingTokenGenerator(
+  std::function<std::int64_t()> timeOfDay,
+  std::uint64_t processNumber)
   : m_timeOfDay(std::move(timeOfDay))
   , m_processNumber(processNumber)
 {
 }
 
 void
-TokenSource::seen(FencingToken token)
+FencingTokenGenerator::observe(FencingToken token)
 {
   m_highest = std::max(m_highest, token);
 }
 
 FencingToken
-TokenSource::next()
+FencingTokenGenerator::next()
 {
   return makeAbove(minIncrement);
 }
 
 FencingToken
-TokenSource::nextAfterRefusal(unsigned refusals)
+FencingTokenGenerator::nextAfterRefusal(unsigned refusals)
 {
   if (refusals == 0)
     return next();
@@ -54,7 +55,7 @@
 }
 
 FencingToken
-TokenSource::makeAbove(std::uint64_t margin)
+FencingTokenGenerator::makeAbove(std::uint64_t margin)
 {
   const std::int64_t sinceEpoch = m_timeOfDay() - tokenEpochMs;
   const auto fromClock =
--- a/src/libentry/tokensource.h
+++ b/src/libentry/tokensource.h
@@ -10,16 +10,16 @@
 /// Generates fencing tokens. Each is higher than all tokens that this daemon
 /// knows of. Tokens follow the time of day, so that a daemon that knows of none
 /// yet generates a high one too.
-class TokenSource
+class FencingTokenGenerator
 {
 public:
   /// `timeOfDay` returns milliseconds since 1970 and may jump. `processNumber`
   /// differs from one process to the next.
-  TokenSource(std::function<std::int64_t()> timeOfDay,
-              std::uint64_t processNumber);
+  FencingTokenGenerator(std::function<std::int64_t()> timeOfDay,
+                        std::uint64_t processNumber);
 
   /// A token is in use at another daemon or a worker.
-  void seen(FencingToken token);
+  void observe(FencingToken token);
 
   FencingToken next();
 
--- a/src/libentry/vacancyprobe.cpp
+++ b/src/libentry/vacancyprobe.cpp
@@ -23,19 +23,19 @@
   if (isRoundInProgress || now - shardState.startedAt < m_settings.interval)
     return;
   const auto round = std::make_shared<Round>();
-  round->waiting = std::min(workers.size(), m_settings.workers);
+  round->waiting = std::min(workers.size(), m_settings.workersPerRound);
   shardState.round = round;
   shardState.startedAt = now;
-  HoldOrder order;
+  LeaseOrder order;
   order.token = token;
   for (std::size_t i = 0; i < round->waiting; ++i)
-    m_hold(
-      workers[i],
-      order,
-      m_settings.orderTimeout,
-      [this, shard, round, worker = workers[i].id()](const HoldAnswer& answer) {
-        answered(shard, worker, round, answer);
-      });
+    m_hold(workers[i],
+           order,
+           m_settings.orderTimeout,
+           [this, shard, round, worker = workers[i].id()](
+             const LeaseOrderAnswer& answer) {
+             answered(shard, worker, round, answer);
+           });
 }
 
 bool
@@ -43,11 +43,11 @@
 {
   const auto found = m_shardStates.find(shard);
   return found != m_shardStates.end() &&
-         found->second.vacantRounds >= m_settings.rounds;
+         found->second.vacantRounds >= m_settings.requiredRounds;
 }
 
 void
-VacancyProbe::keepOnly(const std::set<ShardId>& shards)
+VacancyProbe::dropOthers(const std::set<ShardId>& shards)
 {
   for (auto shardState = m_shardStates.begin();
        shardState != m_shardStates.end();) {
@@ -64,12 +64,12 @@
 VacancyProbe::answered(const ShardId& shard,
                        const WorkerId& worker,
                        const std::shared_ptr<Round>& round,
-                       const HoldAnswer& answer)
+                       const LeaseOrderAnswer& answer)
 {
   --round->waiting;
-  const auto* report = std::get_if<HoldReport>(&answer);
+  const auto* report = std::get_if<WorkerReport>(&answer);
   if (report && !report->ended.empty())
-    round->ends[worker] = { report->birth, report->ended.front().number };
+    round->ends[worker] = { report->bootTime, report->ended.front().sequence };
   const auto* failure = std::get_if<OrderFailure>(&answer);
   round->isTokenRefused =
     round->isTokenRefused || (failure && *failure == OrderFailure::Fenced);
--- a/src/libentry/vacancyprobe.h
+++ b/src/libentry/vacancyprobe.h
@@ -33,16 +33,16 @@
     /// The same timeout as for any other report of a worker.
     Duration orderTimeout = std::chrono::milliseconds(90);
     /// Number of workers that are asked in a round.
-    std::size_t workers = 8;
+    std::size_t workersPerRound = 8;
     /// Number of rounds in a row, after the one that first saw it, in which an
     /// end has to stay listed. Together they take a third of a second, in which
     /// a holder asks each worker more than once.
-    unsigned rounds = 3;
+    unsigned requiredRounds = 3;
   };
 
-  using Answer = std::function<void(const HoldAnswer&)>;
+  using Answer = std::function<void(const LeaseOrderAnswer&)>;
   using Hold = std::function<
-    void(const WorkerRecord&, const HoldOrder&, Duration timeout, Answer)>;
+    void(const WorkerRecord&, const LeaseOrder&, Duration timeout, Answer)>;
 
   VacancyProbe(Settings settings, Hold hold);
 
@@ -58,13 +58,13 @@
   bool isVacant(const ShardId& shard) const;
 
   /// Drops the results of all other shards.
-  void keepOnly(const std::set<ShardId>& shards);
+  void dropOthers(const std::set<ShardId>& shards);
 
 private:
   /// The first ended run that each worker lists, with the incarnation of the
   /// worker.
   using ReportedEnds =
-    std::map<WorkerId, std::pair<WorkerBirth, std::uint64_t>>;
+    std::map<WorkerId, std::pair<WorkerBootTime, std::uint64_t>>;
 
   struct Round
   {
@@ -83,7 +83,7 @@
   void answered(const ShardId& shard,
                 const WorkerId& worker,
                 const std::shared_ptr<Round>& round,
-                const HoldAnswer& answer);
+                const LeaseOrderAnswer& answer);
   static void evaluateRound(ShardState& shardState);
 
   const Settings m_settings;
--- a/src/libjobs/admission.cpp
+++ b/src/libjobs/admission.cpp
@@ -32,7 +32,7 @@
 {
   if (!request.canEverRun)
     return false;
-  if (request.isSuggested)
+  if (request.wasReferred)
     return request.freeSlots > 0;
   if (request.freeSlots >= request.tasks || request.mayGoElsewhere)
     return true;
--- a/src/libjobs/admission.h
+++ b/src/libjobs/admission.h
@@ -30,7 +30,7 @@
   /// Whether any worker could ever run it.
   bool canEverRun = true;
   /// Whether the submitter was referred to this holder because it has room.
-  bool isSuggested = false;
+  bool wasReferred = false;
   /// Whether another holder has room for tasks that find none here.
   bool mayGoElsewhere = false;
   Duration expectedWait = Duration::zero();
--- a/src/libjobs/admittedload.cpp
+++ b/src/libjobs/admittedload.cpp
@@ -28,7 +28,9 @@
 }
 
 double
-AdmittedLoad::before(const ShardId& shard, Duration slack, TimePoint now) const
+AdmittedLoad::loadBefore(const ShardId& shard,
+                         Duration slack,
+                         TimePoint now) const
 {
   double work = 0;
   for (const auto& [key, rate] : m_rates) {
--- a/src/libjobs/admittedload.h
+++ b/src/libjobs/admittedload.h
@@ -40,7 +40,7 @@
 
   /// Returns the load admitted to a shard from jobs that can wait shorter than
   /// `slack`, in thousandths of a core.
-  double before(const ShardId& shard, Duration slack, TimePoint now) const;
+  double loadBefore(const ShardId& shard, Duration slack, TimePoint now) const;
 
 private:
   struct Rate
--- a/src/libjobs/evacuations.h
+++ b/src/libjobs/evacuations.h
@@ -9,20 +9,23 @@
 
 /// The availability zones that operators have asked to be evacuated. Nothing is
 /// started on their workers until the request is taken back.
-struct Evacuations
+struct EvacuatedZones
 {
   /// Position in the platform's log of operator requests up to which the log
   /// had been read when this was known; 0 if it was never read.
-  std::uint64_t asOf = 0;
+  std::uint64_t logPosition = 0;
   std::set<ZoneName> zones;
 
-  bool isNewerThan(const Evacuations& other) const { return asOf > other.asOf; }
+  bool isNewerThan(const EvacuatedZones& other) const
+  {
+    return logPosition > other.logPosition;
+  }
 
-  friend bool operator==(const Evacuations& a, const Evacuations& b)
+  friend bool operator==(const EvacuatedZones& a, const EvacuatedZones& b)
   {
-    return a.asOf == b.asOf && a.zones == b.zones;
+    return a.logPosition == b.logPosition && a.zones == b.zones;
   }
-  friend bool operator!=(const Evacuations& a, const Evacuations& b)
+  friend bool operator!=(const EvacuatedZones& a, const EvacuatedZones& b)
   {
     return !(a == b);
   }
--- a/src/libjobs/job.cpp
+++ b/src/libjobs/job.cpp
@@ -26,7 +26,7 @@
     job->exclusiveUntil = now + request.exclusiveFor;
   job->expected = expected;
   if (request.quarantine)
-    job->lostAt = now - request.quarantine->age;
+    job->earlierHolderLostAt = now - request.quarantine->sinceLoss;
   const Duration objective =
     scaled(job->expected, policy.stretch) + policy.target;
   job->objectiveAt = job->arrivedAt + objective;
@@ -101,9 +101,9 @@
     if (task.state == TaskState::Done || task.state == TaskState::Returned)
       continue;
     if (task.state == TaskState::Quarantined)
-      end.underWay.push_back({ task.index, task.lastWorker });
+      end.activeTasks.push_back({ task.index, task.lastWorker });
     else if (const auto worker = workerOf(job.request.taskName(task.index)))
-      end.underWay.push_back({ task.index, *worker });
+      end.activeTasks.push_back({ task.index, *worker });
   }
   return end;
 }
--- a/src/libjobs/job.h
+++ b/src/libjobs/job.h
@@ -93,7 +93,7 @@
   /// Whether any task may have been started, here or elsewhere.
   bool hasStarted = false;
   /// When a daemon that had the job before was lost, if one was.
-  TimePoint lostAt{};
+  TimePoint earlierHolderLostAt{};
   /// When the job is abandoned. Set while its submitter can't be reached.
   std::optional<TimePoint> abandonAt;
   /// When the submitter was last lost.
@@ -112,12 +112,12 @@
 /// How long a run may go on after its submitter was last known to be alive. A
 /// caller whose connection breaks submits again 1,300 ms later; the difference
 /// covers a worker's clock that is 2% slow.
-constexpr Duration wantedRunLimit = std::chrono::milliseconds(1240);
+constexpr Duration maxRunAfterContact = std::chrono::milliseconds(1240);
 
 /// How long before a job ceases to be exclusive its runs are stopped. Other
 /// runs share the leases of their workers, and these leases then needn't end
 /// with the job.
-constexpr Duration exclusiveMargin = std::chrono::milliseconds(60);
+constexpr Duration exclusiveStopMargin = std::chrono::milliseconds(60);
 
 /// No task is started this shortly before its job ceases to be exclusive, as it
 /// would soon be stopped.
@@ -127,7 +127,7 @@
 /// itself alive to that daemon until it noticed the loss. The difference to
 /// 1,300 ms, after which a caller submits again, covers a worker's clock that
 /// is slow.
-constexpr Duration lostRunLimit = std::chrono::milliseconds(1270);
+constexpr Duration maxOrphanedRun = std::chrono::milliseconds(1270);
 
 Duration
 scaled(Duration duration, double factor);
--- a/src/libjobs/jobend.h
+++ b/src/libjobs/jobend.h
@@ -74,17 +74,17 @@
 };
 
 /// A task that may be in progress, and its worker.
-struct TaskPlace
+struct TaskLocation
 {
   TaskIndex task = 0;
   /// Empty if the worker isn't known.
   WorkerId worker;
 
-  friend bool operator==(const TaskPlace& a, const TaskPlace& b)
+  friend bool operator==(const TaskLocation& a, const TaskLocation& b)
   {
     return a.task == b.task && a.worker == b.worker;
   }
-  friend bool operator!=(const TaskPlace& a, const TaskPlace& b)
+  friend bool operator!=(const TaskLocation& a, const TaskLocation& b)
   {
     return !(a == b);
   }
@@ -104,7 +104,7 @@
   std::uint64_t nextRun = 1;
   /// For `Moved`: tasks that may be in progress. Other tasks that are not done
   /// have no run and can start at once.
-  std::vector<TaskPlace> underWay = {};
+  std::vector<TaskLocation> activeTasks = {};
   /// For `Moved` and `Completed`.
   CrashCounts crashes = {};
 };
--- a/src/libjobs/joblog.cpp
+++ b/src/libjobs/joblog.cpp
@@ -30,7 +30,7 @@
                 { "shard", job.request.shard.toString() },
                 { "tasks", job.tasks.size() },
                 { "done", job.done },
-                { "underWay", end.underWay.size() },
+                { "underWay", end.activeTasks.size() },
                 { "nextRun", end.nextRun },
                 { "ageMs", toMilliseconds(now - job.arrivedAt) } });
 }
--- a/src/libjobs/jobrequest.h
+++ b/src/libjobs/jobrequest.h
@@ -71,15 +71,15 @@
   /// The workers of the lost daemon, as it advertised them to the submitter.
   /// Once all of them have reported, no run is unknown. Not set if they aren't
   /// known, or if runs may be left on other workers.
-  std::optional<ShardWorkers> lastHolders;
+  std::optional<ShardWorkers> lostHoldersWorkers;
   /// Time since the daemon was lost. Only what workers report since then shows
   /// what it has left behind.
-  Duration age = Duration::zero();
+  Duration sinceLoss = Duration::zero();
   /// How much longer the runs may go on if no worker reports.
-  Duration remaining = Duration::zero();
+  Duration timeRemaining = Duration::zero();
   /// The tasks that may be in progress, if the daemon reported them. For each
   /// of them it is enough that its own worker has reported.
-  std::optional<std::vector<TaskPlace>> underWay = std::nullopt;
+  std::optional<std::vector<TaskLocation>> activeTasks = std::nullopt;
 };
 
 /// A job, or a part of its tasks, as one daemon hands it to another.
@@ -110,7 +110,7 @@
   bool mayHaveRun = false;
   /// Whether the tasks may be returned, to be handed to another holder. If not,
   /// the job is refused at once where there is no room at all.
-  bool mayBeReturned = true;
+  bool allowsReturn = true;
   CrashCounts crashes = {};
   /// How much longer it is certain that no other daemon receives the job again
   /// without knowing where it is in progress. No limit once the other daemons
--- a/src/libjobs/leaselog.cpp
+++ b/src/libjobs/leaselog.cpp
@@ -34,7 +34,7 @@
 }
 
 void
-logLeaseEvent(const WorkerId& worker, const StrayStopped& note)
+logLeaseEvent(const WorkerId& worker, const OrphanStopped& note)
 {
   logDecision(LogLevel::Info,
               "found-run-stopped",
@@ -55,25 +55,25 @@
                 { "task", note.key.task() },
                 { "run", note.key.run() },
                 { "reason", toString(note.failure) },
-                { "sent", note.sent },
-                { "sinceFirstMs", toMilliseconds(note.sinceFirst) },
-                { "sinceLastMs", toMilliseconds(note.sinceLast) } });
+                { "sent", note.attempts },
+                { "sinceFirstMs", toMilliseconds(note.sinceFirstAttempt) },
+                { "sinceLastMs", toMilliseconds(note.sinceLastAttempt) } });
 }
 
 void
-logLeaseEvent(const WorkerId& worker, const UnwantedRenewal& note)
+logLeaseEvent(const WorkerId& worker, const EndingRunRenewed& note)
 {
   logDecision(LogLevel::Warning,
               "lease-renewed-over",
               { { "worker", worker },
                 { "task", note.key.task() },
                 { "run", note.key.run() },
-                { "cause", note.isStray ? "found" : "stopping" },
+                { "cause", note.isOrphaned ? "found" : "stopping" },
                 { "ageMs", toMilliseconds(note.age) } });
 }
 
 void
-logLeaseEvent(const WorkerId& worker, const LeaseLapsed& note)
+logLeaseEvent(const WorkerId& worker, const LeaseExpired& note)
 {
   IdList tasks;
   for (const RunKey& key : note.runs)
@@ -83,8 +83,8 @@
               { { "worker", worker },
                 { "runs", tasks.count() },
                 { "tasks", tasks.text() },
-                { "sinceReportMs", toMilliseconds(note.sinceReport) },
-                { "sinceLapseMs", toMilliseconds(note.sinceLapse) } });
+                { "sinceReportMs", toMilliseconds(note.sinceLastReport) },
+                { "sinceLapseMs", toMilliseconds(note.sinceExpiry) } });
 }
 
 } // namespace cowslippin
--- a/src/libjobs/leaselog.h
+++ b/src/libjobs/leaselog.h
@@ -15,12 +15,12 @@
 void
 logStartUnresolved(const WorkerId& worker, const RunKey& key);
 void
-logLeaseEvent(const WorkerId& worker, const StrayStopped& note);
+logLeaseEvent(const WorkerId& worker, const OrphanStopped& note);
 void
 logLeaseEvent(const WorkerId& worker, const StopFailed& note);
 void
-logLeaseEvent(const WorkerId& worker, const UnwantedRenewal& note);
+logLeaseEvent(const WorkerId& worker, const EndingRunRenewed& note);
 void
-logLeaseEvent(const WorkerId& worker, const LeaseLapsed& note);
+logLeaseEvent(const WorkerId& worker, const LeaseExpired& note);
 
 } // namespace cowslippin
--- a/src/libjobs/losslog.cpp
+++ b/src/libjobs/losslog.cpp
@@ -14,7 +14,9 @@
 std::int64_t
 sinceLossMs(const Job& job, TimePoint now)
 {
-  return job.lostAt == TimePoint() ? -1 : toMilliseconds(now - job.lostAt);
+  return job.earlierHolderLostAt == TimePoint()
+           ? -1
+           : toMilliseconds(now - job.earlierHolderLostAt);
 }
 
 std::ptrdiff_t
--- a/src/libjobs/losslog.h
+++ b/src/libjobs/losslog.h
@@ -21,7 +21,7 @@
                    const WorkerId& previous,
                    TimePoint now);
 
-  const Counts& restarts() const { return m_restarts; }
+  const Counts& restartCounts() const { return m_restarts; }
 
 private:
   Counts m_restarts;
--- a/src/libjobs/machinelimits.cpp
+++ b/src/libjobs/machinelimits.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 std::size_t
-carriedWorkers(const MachineLimits& limits)
+maxWorkersFor(const MachineLimits& limits)
 {
   const double byProcessor =
     workersWithin(limits.cores, tasksPerSecond * processorSecondsPerTask);
--- a/src/libjobs/machinelimits.h
+++ b/src/libjobs/machinelimits.h
@@ -35,6 +35,6 @@
 /// sent again, and that load would keep the queues full long after its cause
 /// has ended.
 std::size_t
-carriedWorkers(const MachineLimits& limits);
+maxWorkersFor(const MachineLimits& limits);
 
 } // namespace cowslippin
--- a/src/libjobs/peerplaces.cpp
+++ b/src/libjobs/peerplaces.cpp
@@ -12,7 +12,7 @@
 void
 PeerSlots::set(const VmId& holder, const ShardId& shard, unsigned slots)
 {
-  m_places[shard] = { holder, slots };
+  m_slots[shard] = { holder, slots };
 }
 
 void
@@ -30,11 +30,11 @@
 }
 
 std::optional<PeerSlots::Offer>
-PeerSlots::best() const
+PeerSlots::bestOffer() const
 {
   std::optional<Offer> best;
   unsigned most = holderReservedSlots;
-  for (const auto& [shard, slots] : m_places) {
+  for (const auto& [shard, slots] : m_slots) {
     if (slots.count > most) {
       most = slots.count;
       best = Offer{ slots.holder, shard, slots.count };
@@ -44,10 +44,10 @@
 }
 
 bool
-PeerSlots::take(const ShardId& shard)
+PeerSlots::useSlot(const ShardId& shard)
 {
-  const auto found = m_places.find(shard);
-  if (found == m_places.end() || found->second.count <= holderReservedSlots)
+  const auto found = m_slots.find(shard);
+  if (found == m_slots.end() || found->second.count <= holderReservedSlots)
     return false;
   --found->second.count;
   return true;
--- a/src/libjobs/peerplaces.h
+++ b/src/libjobs/peerplaces.h
@@ -26,11 +26,11 @@
   void forget(const ZoneName& zone);
 
   /// Returns the shard that offers the most slots, if any shard offers one.
-  std::optional<Offer> best() const;
+  std::optional<Offer> bestOffer() const;
 
   /// Counts one slot of the shard as used. Returns false if the shard offers
   /// none.
-  bool take(const ShardId& shard);
+  bool useSlot(const ShardId& shard);
 
 private:
   struct Slots
@@ -42,15 +42,15 @@
   template<class Predicate>
   void forgetIf(Predicate mustForget)
   {
-    for (auto entry = m_places.begin(); entry != m_places.end();) {
+    for (auto entry = m_slots.begin(); entry != m_slots.end();) {
       if (mustForget(entry->first, entry->second))
-        entry = m_places.erase(entry);
+        entry = m_slots.erase(entry);
       else
         ++entry;
     }
   }
 
-  std::map<ShardId, Slots> m_places;
+  std::map<ShardId, Slots> m_slots;
 };
 
 } // namespace cowslippin
--- a/src/libjobs/restartcause.h
+++ b/src/libjobs/restartcause.h
@@ -12,7 +12,7 @@
   /// The worker was lost with the last run.
   WorkerLost,
   /// The lease of a worker that doesn't answer expired.
-  Lapsed,
+  Expired,
   /// The worker reported that it doesn't have the last run, or stopped it.
   RunLost,
   /// The last run was stopped because it made no progress.
@@ -42,7 +42,7 @@
       return "failed";
     case RestartCause::WorkerLost:
       return "worker-lost";
-    case RestartCause::Lapsed:
+    case RestartCause::Expired:
       return "lapsed";
     case RestartCause::RunLost:
       return "run-lost";
--- a/src/libjobs/scheduler.cpp
+++ b/src/libjobs/scheduler.cpp
@@ -21,7 +21,7 @@
 {
   if (wasStalled)
     return RestartCause::Stalled;
-  return end == RunEnd::Lapsed ? RestartCause::Lapsed : RestartCause::RunLost;
+  return end == RunEnd::Expired ? RestartCause::Expired : RestartCause::RunLost;
 }
 
 } // namespace
@@ -31,7 +31,7 @@
   , m_settings(settings)
   , m_hooks(std::move(hooks))
   , m_pool(m_settings.pool, poolHooks())
-  , m_load({})
+  , m_admittedLoad({})
 {
 }
 
@@ -41,8 +41,10 @@
   WorkerPool::Hooks hooks;
   hooks.orders = m_hooks.orders;
   hooks.higherToken = m_hooks.higherToken;
-  hooks.fenced = m_hooks.fenced;
-  hooks.wantedUntil = [this](const RunKey& key) { return wantedUntil(key); };
+  hooks.workerFenced = m_hooks.workerFenced;
+  hooks.runWantedUntil = [this](const RunKey& key) {
+    return runWantedUntil(key);
+  };
   hooks.runEnded = [this](const WorkerId& worker,
                           const RunKey& key,
                           RunEnd end) { runEnded(worker, key, end); };
@@ -50,15 +52,16 @@
     [this](const WorkerId& worker, const RunKey& key, OrderFailure failure) {
       startRejected(worker, key, failure);
     };
-  hooks.startUnresolved =
+  hooks.unresolvedStartFound =
     [this](const WorkerId& worker, const RunKey& key, TimePoint until) {
-      startUnresolved({ key, worker, until });
+      unresolvedStartFound({ key, worker, until });
     };
   hooks.mayResend = [this](const RunKey& key) { return mayResend(key); };
-  hooks.runActive = [this](const WorkerId& worker,
-                           const RunKey& key,
-                           int percent) { runActive(worker, key, percent); };
-  hooks.strayEnded = [this](const WorkerId&, const RunKey& key, RunEnd end) {
+  hooks.runProgressed =
+    [this](const WorkerId& worker, const RunKey& key, int percent) {
+      runProgressed(worker, key, percent);
+    };
+  hooks.orphanEnded = [this](const WorkerId&, const RunKey& key, RunEnd end) {
     if (end == RunEnd::Done)
       m_finishedOrphans[key.task()] = m_now;
   };
@@ -69,7 +72,7 @@
 Scheduler::submit(JobRequest request, TimePoint now)
 {
   m_now = now;
-  if (attach(request)) {
+  if (reattachJob(request)) {
     dispatch(now);
     return;
   }
@@ -80,25 +83,25 @@
     makeJob(std::move(request), expected, m_settings.worthlessFactor, now);
   Job& job = *owned;
   if (job.expiresAt <= now) {
-    m_hooks.ended(key, { JobOutcome::TimedOut, Duration::zero(), {}, 1 });
+    m_hooks.jobEnded(key, { JobOutcome::TimedOut, Duration::zero(), {}, 1 });
     return;
   }
   if (!holds(job.request.shard)) {
-    m_hooks.ended(key, { JobOutcome::NotHolder, Duration::zero(), {}, 1 });
+    m_hooks.jobEnded(key, { JobOutcome::NotHolder, Duration::zero(), {}, 1 });
     return;
   }
   if (mustRefuse(job, now)) {
-    const JobEnd end = refusal(job, now);
+    const JobEnd end = refusedEnd(job, now);
     logJob("job-refused", job, &end, m_now);
-    m_hooks.ended(key, end);
+    m_hooks.jobEnded(key, end);
     return;
   }
   m_jobs.emplace(key, std::move(owned));
-  m_load.add(job.request.shard,
-             job.request.policy.queue,
-             slackOf(job),
-             waitingWork(job),
-             now);
+  m_admittedLoad.add(job.request.shard,
+                     job.request.policy.queue,
+                     slackOf(job),
+                     waitingWork(job),
+                     now);
   logJob("job-accepted", job, nullptr, m_now);
   adoptOrQuarantineRuns(job, now);
   if (job.isOver()) {
@@ -114,14 +117,14 @@
 /// messages from it are received again: it may have handed the job to another
 /// daemon.
 std::optional<TimePoint>
-Scheduler::wantedUntil(const RunKey& key) const
+Scheduler::runWantedUntil(const RunKey& key) const
 {
   const auto found = m_runs.find(key);
   if (found == m_runs.end() || found->second.job->abandonAt)
     return std::nullopt;
   const Job& job = *found->second.job;
   const VmId& submitter = job.request.key.submitter();
-  return std::min(m_hooks.lastContact(submitter) + wantedRunLimit,
+  return std::min(m_hooks.lastContact(submitter) + maxRunAfterContact,
                   job.exclusiveUntil);
 }
 
@@ -137,7 +140,7 @@
 Scheduler::mayStart(const Job& job, TimePoint now) const
 {
   return !job.abandonAt &&
-         contactAge(job, now) <= m_settings.startContactLimit &&
+         contactAge(job, now) <= m_settings.maxContactAgeForStart &&
          now <= job.exclusiveUntil - exclusiveStartMargin;
 }
 
@@ -158,8 +161,9 @@
 Scheduler::adoptRun(Job& job, std::size_t position, TimePoint now)
 {
   JobTask& task = job.tasks[position];
-  const auto run = m_pool.adopt(
-    job.request.taskName(task.index), job.request.needs.resources, job.lostAt);
+  const auto run = m_pool.adopt(job.request.taskName(task.index),
+                                job.request.needs.resources,
+                                job.earlierHolderLostAt);
   if (!run)
     return false;
   task.worker = run->first;
@@ -206,10 +210,10 @@
   const auto& quarantine = job.request.quarantine;
   if (!quarantine)
     return;
-  if (quarantine->underWay) {
-    const auto& locations = *quarantine->underWay;
+  if (quarantine->activeTasks) {
+    const auto& locations = *quarantine->activeTasks;
     const auto location = std::find_if(
-      locations.begin(), locations.end(), [&](const TaskPlace& known) {
+      locations.begin(), locations.end(), [&](const TaskLocation& known) {
         return known.task == task.index;
       });
     if (location == locations.end())
@@ -217,12 +221,12 @@
     task.lastWorker = location->worker;
   }
   dequeueTask(job, task, TaskState::Quarantined);
-  task.quarantinedUntil = now + quarantine->remaining;
+  task.quarantinedUntil = now + quarantine->timeRemaining;
   logQuarantined(job, task, now);
   // A report from before the loss doesn't count. The next regular report would
   // arrive when the run, considered orphaned, is already being stopped.
   if (const auto worker = m_pool.workerOf(job.request.taskName(task.index)))
-    m_pool.refresh(*worker, now);
+    m_pool.requestReport(*worker, now);
 }
 
 bool
@@ -237,7 +241,7 @@
   request.freeSlots = m_pool.freeSlots(
     job.request.shard, job.request.needs.resources.cpuMillis(), now);
   request.canEverRun = m_pool.canEverRun(job.request);
-  request.isSuggested = !job.request.mayBeReturned;
+  request.wasReferred = !job.request.allowsReturn;
   request.mayGoElsewhere = peerOfferFor(job).has_value();
   request.expectedWait = expectedWait(job, now);
   request.runTime = job.expected;
@@ -247,7 +251,7 @@
 }
 
 JobEnd
-Scheduler::refusal(const Job& job, TimePoint now) const
+Scheduler::refusedEnd(const Job& job, TimePoint now) const
 {
   return { JobOutcome::Refused, retryAfter(expectedWait(job, now)), {}, 1 };
 }
@@ -260,12 +264,12 @@
   if (found == m_jobs.end())
     return;
   logJobCancelled(*found->second, m_now);
-  drop(*found->second);
+  removeJob(*found->second);
   dispatch(now);
 }
 
 void
-Scheduler::keep(const JobKey& key, TimePoint now)
+Scheduler::liftExclusivity(const JobKey& key, TimePoint now)
 {
   m_now = now;
   const auto found = m_jobs.find(key);
@@ -276,7 +280,7 @@
 }
 
 void
-Scheduler::daemonLost(const VmId& vm, bool wasSilent, TimePoint now)
+Scheduler::peerLost(const VmId& vm, bool wasSilent, TimePoint now)
 {
   m_now = now;
   forgetPeer(vm);
@@ -297,18 +301,18 @@
 }
 
 void
-Scheduler::setList(const WorkerList& list, TimePoint now)
+Scheduler::setWorkers(const WorkerList& list, TimePoint now)
 {
   m_now = now;
-  m_pool.setList(list, now);
+  m_pool.setWorkers(list, now);
   dispatch(now);
 }
 
 void
-Scheduler::setEvacuated(const std::set<ZoneName>& zones, TimePoint now)
+Scheduler::setEvacuatedZones(const std::set<ZoneName>& zones, TimePoint now)
 {
   m_now = now;
-  m_pool.setEvacuated(zones);
+  m_pool.setEvacuatedZones(zones);
   for (const ZoneName& zone : zones)
     m_peerSlots.forget(zone);
   dispatch(now);
@@ -336,7 +340,7 @@
       quarantineRunsOn(*job, shard);
   }
   for (const auto& [worker, start] : m_pool.unansweredStarts(shard))
-    tellUnresolved({ start.key, worker, start.until });
+    announceUnresolvedStart({ start.key, worker, start.expiresAt });
   m_pool.releaseShard(shard);
   for (const auto& [job, end] : ends) {
     for (auto run = m_runs.begin(); run != m_runs.end();) {
@@ -366,8 +370,8 @@
     m_runs.erase(run);
     task.nextRun += runNumberGap;
     task.lastWorker = *worker;
-    task.quarantinedUntil = m_now + lostRunLimit;
-    job.lostAt = m_now;
+    task.quarantinedUntil = m_now + maxOrphanedRun;
+    job.earlierHolderLostAt = m_now;
     logQuarantined(job, task, m_now);
     if (task.state == TaskState::Pending)
       dequeueTask(job, task, TaskState::Quarantined);
@@ -380,7 +384,7 @@
 /// for a moment. Tasks that the submitter lists again had been returned in a
 /// message that it didn't receive. Returns false if no part of the job is here.
 bool
-Scheduler::attach(const JobRequest& request)
+Scheduler::reattachJob(const JobRequest& request)
 {
   const JobKey previous(
     request.key.submitter(), request.key.job(), request.previousPart);
@@ -410,13 +414,13 @@
 }
 
 void
-Scheduler::holdAnswered(const WorkerId& worker,
-                        const SentHold& sent,
-                        const HoldAnswer& answer,
-                        TimePoint now)
+Scheduler::leaseOrderAnswered(const WorkerId& worker,
+                              const SentLeaseOrder& sent,
+                              const LeaseOrderAnswer& answer,
+                              TimePoint now)
 {
   m_now = now;
-  m_pool.holdAnswered(worker, sent, answer, now);
+  m_pool.leaseOrderAnswered(worker, sent, answer, now);
   dispatch(now);
 }
 
@@ -484,7 +488,7 @@
 }
 
 unsigned
-Scheduler::sparePlaces(const ShardId& shard, TimePoint now) const
+Scheduler::spareSlots(const ShardId& shard, TimePoint now) const
 {
   const auto usual = static_cast<std::int64_t>(m_meanCpuMillis);
   const unsigned slots =
@@ -501,7 +505,8 @@
   backlog.workBefore = m_queue.workBefore(shard, newcomer.latestStart);
   backlog.capacity =
     double(m_pool.totalCpuMillis(shard, now)) * m_settings.usableShare;
-  backlog.takenByLaterJobs = m_load.before(shard, slackOf(newcomer), now);
+  backlog.takenByLaterJobs =
+    m_admittedLoad.loadBefore(shard, slackOf(newcomer), now);
   return cowslippin::expectedWait(backlog);
 }
 
@@ -613,11 +618,11 @@
   job.hasStarted = true;
   m_runs[key] = { &job, position };
   recordTaskSize(job.request.needs.resources);
-  m_losses.taskStarted(job, task, previous, now);
+  m_lossLog.taskStarted(job, task, previous, now);
   m_pool.start(
     *worker, key, job.request.needs.resources, job.request.spec, now);
   if (constraints.mustBeIdle)
-    m_pool.reserve(*worker, key);
+    m_pool.reserveForRun(*worker, key);
   return true;
 }
 
@@ -631,8 +636,9 @@
   constraints.avoidedWorkers = task.avoidedWorkers;
   constraints.perWorker = runsPerWorker(job);
   constraints.mustBeIdle = task.crashes >= m_settings.isolateAfterCrashes;
-  constraints.toldUntil = m_hooks.toldUntil(job.request.key.submitter());
-  constraints.leasedUntil = job.exclusiveUntil;
+  constraints.advertisedUntil =
+    m_hooks.advertisedUntil(job.request.key.submitter());
+  constraints.maxLeaseEnd = job.exclusiveUntil;
   // An empty id matches no worker.
   if (binding)
     constraints.requiredWorker = binding->worker.value_or(WorkerId());
@@ -666,7 +672,7 @@
 std::optional<PeerSlots::Offer>
 Scheduler::peerOfferFor(const Job& job) const
 {
-  return job.request.mayBeReturned ? m_peerSlots.best() : std::nullopt;
+  return job.request.allowsReturn ? m_peerSlots.bestOffer() : std::nullopt;
 }
 
 /// Whether the task is pending and no run of it, whoever submitted it, is on a
@@ -689,7 +695,7 @@
   returned.holder = offer->holder;
   returned.shard = offer->shard;
   for (const JobTask& task : job.tasks) {
-    if (isReturnable(job, task) && m_peerSlots.take(offer->shard))
+    if (isReturnable(job, task) && m_peerSlots.useSlot(offer->shard))
       returned.tasks.push_back(task.index);
   }
   returnTasks(job, returned);
@@ -701,7 +707,7 @@
 Scheduler::returnEvacuatedTasks(Job& job)
 {
   if (!job.hasStarted) {
-    finish(job, refusal(job, m_now));
+    finish(job, refusedEnd(job, m_now));
     return;
   }
   TasksReturned returned;
@@ -731,7 +737,7 @@
   }
   job.hasStarted = true;
   logTasksReturned(job, returned);
-  m_hooks.returned(job.request.key, returned);
+  m_hooks.tasksReturned(job.request.key, returned);
   if (job.isOver())
     finish(job, completedEnd(job));
 }
@@ -786,7 +792,7 @@
     logRunEnded(job, task, end, m_now);
   if (end == RunEnd::Done) {
     if (!task.wasAdopted)
-      learn(job, task, worker);
+      recordRunTime(job, task, worker);
     taskDone(job, task);
   } else if (end == RunEnd::Failed) {
     m_pool.recordFailure(worker, m_now);
@@ -827,9 +833,9 @@
 
 /// Makes the task wait to be started again, on the same worker only.
 void
-Scheduler::startUnresolved(const UnresolvedStart& start)
+Scheduler::unresolvedStartFound(const UnresolvedStart& start)
 {
-  tellUnresolved(start);
+  announceUnresolvedStart(start);
   const auto found = m_runs.find(start.key);
   if (found == m_runs.end())
     return;
@@ -846,8 +852,8 @@
 void
 Scheduler::recordUnansweredStart(const WorkerId& worker, const RunKey& key)
 {
-  if (const auto until = m_pool.unansweredUntil(worker, key))
-    tellUnresolved({ key, worker, *until });
+  if (const auto until = m_pool.unansweredStartExpiry(worker, key))
+    announceUnresolvedStart({ key, worker, *until });
 }
 
 bool
@@ -860,14 +866,14 @@
 }
 
 void
-Scheduler::tellUnresolved(const UnresolvedStart& start)
+Scheduler::announceUnresolvedStart(const UnresolvedStart& start)
 {
   m_unresolved.add(start);
-  m_hooks.startUnresolved(start);
+  m_hooks.unresolvedStartFound(start);
 }
 
 void
-Scheduler::runActive(const WorkerId&, const RunKey& key, int percent)
+Scheduler::runProgressed(const WorkerId&, const RunKey& key, int percent)
 {
   const auto found = m_runs.find(key);
   if (found == m_runs.end())
@@ -880,7 +886,9 @@
 }
 
 void
-Scheduler::learn(const Job& job, const JobTask& task, const WorkerId& worker)
+Scheduler::recordRunTime(const Job& job,
+                         const JobTask& task,
+                         const WorkerId& worker)
 {
   const Duration actual = m_now - task.startedAt;
   const auto& request = job.request;
@@ -896,12 +904,12 @@
   logJob("job-ended", job, &end, m_now);
   if (end.outcome == JobOutcome::Moved)
     logJobMoved(job, end, m_now);
-  drop(job);
-  m_hooks.ended(key, end);
+  removeJob(job);
+  m_hooks.jobEnded(key, end);
 }
 
 void
-Scheduler::drop(Job& job)
+Scheduler::removeJob(Job& job)
 {
   m_queue.remove(job);
   const JobKey key = job.request.key;
@@ -931,10 +939,11 @@
 {
   if (job.abandonAt && now >= *job.abandonAt) {
     logJobAbandoned(job, m_now);
-    drop(job);
+    removeJob(job);
     return;
   }
-  if (now >= std::min(job.expiresAt, job.exclusiveUntil - exclusiveMargin)) {
+  if (now >=
+      std::min(job.expiresAt, job.exclusiveUntil - exclusiveStopMargin)) {
     finish(job, { JobOutcome::TimedOut, Duration::zero(), {}, 1 });
     return;
   }
@@ -943,7 +952,7 @@
     return;
   }
   if (!job.hasStarted && now + job.expected > job.worthlessAt) {
-    finish(job, refusal(job, now));
+    finish(job, refusedEnd(job, now));
     return;
   }
   if (!updateQuarantine(job, now))
@@ -983,7 +992,7 @@
 {
   logContactLost(job, contactAge(job, now));
   if (!job.hasStarted) {
-    finish(job, refusal(job, now));
+    finish(job, refusedEnd(job, now));
     return;
   }
   finish(job, movedEnd(job, [this](const std::string& task) {
@@ -1047,11 +1056,11 @@
   if (!quarantine)
     return false;
   if (!task.lastWorker.isEmpty())
-    return m_pool.hasWorkerReported(task.lastWorker, job.lostAt);
-  return !quarantine->underWay && quarantine->lastHolders &&
-         m_pool.hasShardReported(quarantine->lastHolders->shard,
-                                 quarantine->lastHolders->digest,
-                                 job.lostAt);
+    return m_pool.hasWorkerReported(task.lastWorker, job.earlierHolderLostAt);
+  return !quarantine->activeTasks && quarantine->lostHoldersWorkers &&
+         m_pool.hasShardReported(quarantine->lostHoldersWorkers->shard,
+                                 quarantine->lostHoldersWorkers->digest,
+                                 job.earlierHolderLostAt);
 }
 
 void
--- a/src/libjobs/scheduler.h
+++ b/src/libjobs/scheduler.h
@@ -70,8 +70,8 @@
     /// Nothing is started for a submitter whose last contact is older than
     /// this. A run lasts at least as long as the lease that its worker already
     /// has, as leases are never shortened. This limit and the lease time add up
-    /// to `wantedRunLimit`.
-    Duration startContactLimit = std::chrono::milliseconds(490);
+    /// to `maxRunAfterContact`.
+    Duration maxContactAgeForStart = std::chrono::milliseconds(490);
     /// How long the end of an orphaned run is remembered for a job that may ask
     /// for its task.
     Duration orphanEndRetention = std::chrono::seconds(2);
@@ -83,17 +83,17 @@
     WorkerOrders orders;
     /// Reports the end of a job to its submitter. This is the last report on
     /// the job.
-    std::function<void(const JobKey&, const JobEnd&)> ended;
+    std::function<void(const JobKey&, const JobEnd&)> jobEnded;
     /// Returns tasks to the submitter and names the holder to hand them to.
-    std::function<void(const JobKey&, const TasksReturned&)> returned;
+    std::function<void(const JobKey&, const TasksReturned&)> tasksReturned;
     /// Returns a fencing token higher than any known one, see
     /// `WorkerPool::Hooks`.
     std::function<FencingToken(unsigned refusals)> higherToken;
     /// Announces a start of unknown outcome to the other holders, as its job
     /// may be handed to them.
-    std::function<void(const UnresolvedStart&)> startUnresolved;
+    std::function<void(const UnresolvedStart&)> unresolvedStartFound;
     /// Another daemon has claimed a worker of a shard held here.
-    std::function<void(const ShardId&)> fenced;
+    std::function<void(const ShardId&)> workerFenced;
     /// Returns when a submitter, which may be this daemon, was last known to be
     /// alive and to know which of its callers were connected, on this daemon's
     /// clock. Returns a time long ago if no message from it was ever received.
@@ -101,7 +101,7 @@
     /// Returns up to which time the workers held here have been advertised to a
     /// submitter, on this daemon's clock: the submitter knows the workers that
     /// were added before. This daemon itself always knows them.
-    std::function<TimePoint(const VmId&)> toldUntil;
+    std::function<TimePoint(const VmId&)> advertisedUntil;
   };
 
   Scheduler(VmId self, Settings settings, Hooks hooks);
@@ -114,49 +114,50 @@
   void cancel(const JobKey& key, TimePoint now);
   /// Lifts the limit of `JobRequest::exclusiveFor`, as the other daemons have
   /// been told of the job.
-  void keep(const JobKey& key, TimePoint now);
+  void liftExclusivity(const JobKey& key, TimePoint now);
   /// Called when a daemon has become unreachable: its jobs are abandoned soon
   /// unless it submits them again. `wasSilent` says that nothing was received
   /// from it for the silence limit.
-  void daemonLost(const VmId& vm, bool wasSilent, TimePoint now);
+  void peerLost(const VmId& vm, bool wasSilent, TimePoint now);
   /// Called when a message is received from a submitter after a gap: starts the
   /// tasks that waited for it.
   void contactRenewed(TimePoint now);
 
-  /// Sets the platform's list of workers, see `WorkerPool::setList`.
-  void setList(const WorkerList& list, TimePoint now);
+  /// Sets the platform's list of workers, see `WorkerPool::setWorkers`.
+  void setWorkers(const WorkerList& list, TimePoint now);
   /// Sets the availability zones that are being evacuated. Nothing is started
   /// on their workers, and tasks waiting for them are returned to their
   /// submitters at once.
-  void setEvacuated(const std::set<ZoneName>& zones, TimePoint now);
+  void setEvacuatedZones(const std::set<ZoneName>& zones, TimePoint now);
   bool isEvacuated(const ZoneName& zone) const
   {
     return m_pool.isEvacuated(zone);
   }
   std::set<ShardId> shards() const { return m_pool.shards(); }
   /// Sets the maximum number of workers per shard in each zone.
-  void setBounds(const std::map<ZoneName, std::size_t>& bounds)
+  void setMaxShardSizes(const std::map<ZoneName, std::size_t>& bounds)
   {
-    m_pool.setBounds(bounds);
+    m_pool.setMaxShardSizes(bounds);
   }
   /// Adopts the number of shards into which another daemon divides a zone, see
-  /// `ShardMap::adopt`. Returns true if this changes `shards`.
-  bool adoptDivision(const ShardId& shard)
+  /// `ShardMap::adoptShardCount`. Returns true if this changes `shards`.
+  bool adoptShardCount(const ShardId& shard)
   {
-    return m_pool.adoptDivision(shard);
+    return m_pool.adoptShardCount(shard);
   }
   /// Returns the shard of the present division that has workers of a shard of
-  /// another division, see `ShardMap::present`.
-  ShardId presentShard(const ShardId& shard) const
+  /// another division, see `ShardMap::currentShard`.
+  ShardId currentShard(const ShardId& shard) const
   {
-    return m_pool.presentShard(shard);
+    return m_pool.currentShard(shard);
   }
   /// Takes a shard: claims its listed workers with this fencing token.
   void takeShard(const ShardId& shard, FencingToken token, TimePoint now);
-  /// Returns a hash of the set of a shard's workers, see `WorkerPool::digest`.
-  ShardDigest digest(const ShardId& shard) const
+  /// Returns a hash of the set of a shard's workers, see
+  /// `WorkerPool::workersDigest`.
+  ShardDigest workersDigest(const ShardId& shard) const
   {
-    return m_pool.digest(shard);
+    return m_pool.workersDigest(shard);
   }
   /// Returns the listed workers of a shard, whether or not it is held here.
   std::vector<WorkerRecord> workersOf(const ShardId& shard) const
@@ -170,7 +171,7 @@
 
   /// Sets the free slots of a shard as its holder, another daemon, last
   /// advertised them. Ignored for a zone that is being evacuated.
-  void setPeerPlaces(const VmId& vm, const ShardId& shard, unsigned slots)
+  void setPeerSlots(const VmId& vm, const ShardId& shard, unsigned slots)
   {
     if (!m_pool.isEvacuated(shard.zone()))
       m_peerSlots.set(vm, shard, slots);
@@ -178,17 +179,20 @@
   /// Removes the free slots that another daemon has advertised.
   void forgetPeer(const VmId& vm) { m_peerSlots.forget(vm); }
   /// Adds a start of unknown outcome that another holder has announced.
-  void addUnresolved(const UnresolvedStart& start) { m_unresolved.add(start); }
+  void addUnresolvedStart(const UnresolvedStart& start)
+  {
+    m_unresolved.add(start);
+  }
   /// Returns all known starts of unknown outcome, including those that other
   /// holders have announced.
   const UnresolvedStarts& unresolvedStarts() const { return m_unresolved; }
 
   /// Handles a worker's answer to a hold order, which renews the worker's lease
   /// and requests a report of its runs, or the lack of an answer.
-  void holdAnswered(const WorkerId& worker,
-                    const SentHold& sent,
-                    const HoldAnswer& answer,
-                    TimePoint now);
+  void leaseOrderAnswered(const WorkerId& worker,
+                          const SentLeaseOrder& sent,
+                          const LeaseOrderAnswer& answer,
+                          TimePoint now);
   /// Handles a worker's answer to the start of a run, or the lack of one.
   void startAnswered(const WorkerId& worker,
                      const RunKey& key,
@@ -210,7 +214,7 @@
 
   /// Returns the number of free slots of a shard for tasks of the usual size,
   /// less the tasks that already wait for them.
-  unsigned sparePlaces(const ShardId& shard, TimePoint now) const;
+  unsigned spareSlots(const ShardId& shard, TimePoint now) const;
   /// Returns how long a job would wait for its slots if it arrived now.
   Duration expectedWait(const Job& job, TimePoint now) const;
   std::size_t jobCount() const { return m_jobs.size(); }
@@ -219,7 +223,10 @@
   /// Returns the ids of a submitter's jobs.
   IdList jobsOf(const VmId& submitter) const;
   /// Returns how often tasks were started again, by cause.
-  const LossLog::Counts& restarts() const { return m_losses.restarts(); }
+  const LossLog::Counts& restartCounts() const
+  {
+    return m_lossLog.restartCounts();
+  }
   std::size_t waitingTasks() const { return m_queue.waitingTasks(); }
   const WorkerPool& pool() const { return m_pool; }
 
@@ -233,14 +240,14 @@
 
   WorkerPool::Hooks poolHooks();
   void quarantineRunsOn(Job& job, const ShardId& shard);
-  std::optional<TimePoint> wantedUntil(const RunKey& key) const;
+  std::optional<TimePoint> runWantedUntil(const RunKey& key) const;
   Duration contactAge(const Job& job, TimePoint now) const;
   bool mayStart(const Job& job, TimePoint now) const;
   bool hasLostContact(const Job& job, TimePoint now) const;
   bool adoptRun(Job& job, std::size_t position, TimePoint now);
   void adoptOrQuarantineRuns(Job& job, TimePoint now);
   bool mustRefuse(const Job& job, TimePoint now) const;
-  JobEnd refusal(const Job& job, TimePoint now) const;
+  JobEnd refusedEnd(const Job& job, TimePoint now) const;
   void enqueueTask(Job& job, JobTask& task);
   void dequeueTask(Job& job, JobTask& task, TaskState state);
   /// Starts waiting tasks in the order of the queue, and returns tasks for
@@ -265,7 +272,7 @@
   }
   void recordTaskSize(const Resources& resources);
   std::optional<PeerSlots::Offer> peerOfferFor(const Job& job) const;
-  bool attach(const JobRequest& request);
+  bool reattachJob(const JobRequest& request);
   void taskDone(Job& job, JobTask& task);
   void taskFailed(Job& job, JobTask& task);
   void taskCrashed(Job& job, JobTask& task);
@@ -273,17 +280,19 @@
   void startRejected(const WorkerId& worker,
                      const RunKey& key,
                      OrderFailure failure);
-  void startUnresolved(const UnresolvedStart& start);
+  void unresolvedStartFound(const UnresolvedStart& start);
   void recordUnansweredStart(const WorkerId& worker, const RunKey& key);
   bool mayResend(const RunKey& key) const;
-  void tellUnresolved(const UnresolvedStart& start);
-  void runActive(const WorkerId& worker, const RunKey& key, int percent);
+  void announceUnresolvedStart(const UnresolvedStart& start);
+  void runProgressed(const WorkerId& worker, const RunKey& key, int percent);
   /// Records the run time of a completed task, and how slow its worker was.
-  void learn(const Job& job, const JobTask& task, const WorkerId& worker);
+  void recordRunTime(const Job& job,
+                     const JobTask& task,
+                     const WorkerId& worker);
   /// Removes a job and reports its end.
   void finish(Job& job, const JobEnd& end);
   /// Stops the runs of a job and removes it.
-  void drop(Job& job);
+  void removeJob(Job& job);
   void tickJobs(TimePoint now);
   void tickJob(Job& job, TimePoint now);
   void returnJob(Job& job, TimePoint now);
@@ -304,11 +313,11 @@
   RunTimes m_runTimes;
   std::map<JobKey, std::unique_ptr<Job>> m_jobs;
   JobQueue m_queue;
-  AdmittedLoad m_load;
+  AdmittedLoad m_admittedLoad;
   std::map<RunKey, RunOwner> m_runs;
   UnresolvedStarts m_unresolved;
   PeerSlots m_peerSlots;
-  LossLog m_losses;
+  LossLog m_lossLog;
   /// Tasks whose orphaned run was reported done when no job had asked for them,
   /// with the time of the report.
   std::unordered_map<std::string, TimePoint> m_finishedOrphans;
--- a/src/libjobs/shardmap.cpp
+++ b/src/libjobs/shardmap.cpp
@@ -43,7 +43,7 @@
 }
 
 void
-ShardMap::setBounds(std::map<ZoneName, std::size_t> bounds)
+ShardMap::setMaxShardSizes(std::map<ZoneName, std::size_t> bounds)
 {
   m_bounds = std::move(bounds);
 }
@@ -76,7 +76,7 @@
 }
 
 bool
-ShardMap::adopt(const ShardId& shard)
+ShardMap::adoptShardCount(const ShardId& shard)
 {
   const auto found = m_divisions.find(shard.zone());
   if (found == m_divisions.end() || shard.count() <= found->second.count ||
@@ -121,7 +121,7 @@
 }
 
 ShardId
-ShardMap::present(const ShardId& shard) const
+ShardMap::currentShard(const ShardId& shard) const
 {
   const auto found = m_divisions.find(shard.zone());
   if (found == m_divisions.end())
--- a/src/libjobs/shardmap.h
+++ b/src/libjobs/shardmap.h
@@ -32,7 +32,7 @@
 public:
   /// Sets the maximum number of workers per shard in each zone, applied from
   /// the next list on. Other zones have `maxWorkersPerShard`.
-  void setBounds(std::map<ZoneName, std::size_t> bounds);
+  void setMaxShardSizes(std::map<ZoneName, std::size_t> bounds);
   /// Sets the list of workers. Returns true if the number of some zone's shards
   /// has changed.
   bool update(const WorkerList& workers);
@@ -40,7 +40,7 @@
   /// more shards, if this daemon's own list allows it. Returns true if it did.
   /// Otherwise a daemon that joined later could divide the zone differently
   /// from the rest for good.
-  bool adopt(const ShardId& shard);
+  bool adoptShardCount(const ShardId& shard);
 
   ShardId shardOf(const WorkerRecord& worker) const;
   ShardDigest digest(const WorkerList& workers, const ShardId& shard) const;
@@ -48,7 +48,7 @@
   /// Returns the shard of the present division that has workers of a shard of
   /// another division: all of those workers if that division had more shards,
   /// else a part.
-  ShardId present(const ShardId& shard) const;
+  ShardId currentShard(const ShardId& shard) const;
 
 private:
   struct Division
--- a/src/libjobs/shardsizes.cpp
+++ b/src/libjobs/shardsizes.cpp
@@ -11,8 +11,8 @@
 } // namespace
 
 bool
-ShardSizes::update(const std::map<ZoneName, std::size_t>& smallestCapacity,
-                   TimePoint now)
+ShardSizeLimits::update(const std::map<ZoneName, std::size_t>& smallestCapacity,
+                        TimePoint now)
 {
   bool isChanged = false;
   for (const auto& [zone, workers] : smallestCapacity) {
--- a/src/libjobs/shardsizes.h
+++ b/src/libjobs/shardsizes.h
@@ -13,7 +13,7 @@
 /// daemons have to divide a zone alike, and every new division moves jobs. A
 /// maximum therefore falls at once but rises only after it could have been
 /// higher for a while, so that a weak daemon that restarts changes nothing.
-class ShardSizes
+class ShardSizeLimits
 {
 public:
   /// Updates the maximums. `smallestCapacity` is how many workers the weakest
@@ -22,7 +22,7 @@
   bool update(const std::map<ZoneName, std::size_t>& smallestCapacity,
               TimePoint now);
 
-  const std::map<ZoneName, std::size_t>& bounds() const { return m_bounds; }
+  const std::map<ZoneName, std::size_t>& limits() const { return m_bounds; }
 
 private:
   std::map<ZoneName, std::size_t> m_bounds;
--- a/src/libjobs/workerorders.h
+++ b/src/libjobs/workerorders.h
@@ -10,7 +10,7 @@
 /// none came within the given time. All functions must be set.
 struct WorkerOrders
 {
-  std::function<void(const WorkerRecord&, const HoldOrder&, Duration)> hold;
+  std::function<void(const WorkerRecord&, const LeaseOrder&, Duration)> hold;
   std::function<void(const WorkerRecord&, const StartOrder&, Duration)> start;
   std::function<void(const WorkerRecord&, const StopOrder&, Duration)> stop;
 };
--- a/src/libjobs/workerpool.cpp
+++ b/src/libjobs/workerpool.cpp
@@ -25,7 +25,8 @@
 bool
 hasReportedSince(const WorkerLease& lease, TimePoint since)
 {
-  return lease.state() == LeaseState::Held && lease.reportAskedAt() >= since;
+  return lease.state() == LeaseState::Held &&
+         lease.reportRequestedAt() >= since;
 }
 
 } // namespace
@@ -33,12 +34,12 @@
 WorkerPool::WorkerPool(Settings settings, Hooks hooks)
   : m_settings(settings)
   , m_hooks(std::move(hooks))
-  , m_answerTimes(std::make_shared<AnswerTimes>(settings.answers))
+  , m_answerTimes(std::make_shared<OrderTimeouts>(settings.answers))
 {
 }
 
 void
-WorkerPool::setList(const WorkerList& list, TimePoint now)
+WorkerPool::setWorkers(const WorkerList& list, TimePoint now)
 {
   m_list = list;
   m_map.update(list);
@@ -64,13 +65,13 @@
     const auto known = m_fullCapacity.find(id);
     full[id] = known == m_fullCapacity.end()
                  ? record.capacity()
-                 : largerOf(known->second, record.capacity());
+                 : componentwiseMax(known->second, record.capacity());
   }
   m_fullCapacity = std::move(full);
 }
 
 ShardDigest
-WorkerPool::digest(const ShardId& shard) const
+WorkerPool::workersDigest(const ShardId& shard) const
 {
   if (!holds(shard))
     return m_map.digest(m_list, shard);
@@ -120,7 +121,7 @@
                              ShardDigest previousHolderDigest,
                              TimePoint since) const
 {
-  if (!holds(shard) || digest(shard) != previousHolderDigest)
+  if (!holds(shard) || workersDigest(shard) != previousHolderDigest)
     return false;
   return std::all_of(m_entries.begin(), m_entries.end(), [&](const auto& item) {
     return item.second.shard != shard ||
@@ -146,9 +147,9 @@
   for (const auto& [id, entry] : m_entries) {
     const bool isNotIdle =
       constraints.mustBeIdle && entry.lease->runCount() > 0;
-    const bool isNotAdvertised = entry.addedAt > constraints.toldUntil;
-    if (!isAllowed(id, entry, constraints) || isNotIdle || isNotAdvertised ||
-        !canStartSafely(entry, request, constraints, now))
+    const bool isNotAdvertised = entry.addedAt > constraints.advertisedUntil;
+    if (!satisfiesConstraints(id, entry, constraints) || isNotIdle ||
+        isNotAdvertised || !canStartSafely(entry, request, constraints, now))
       continue;
     const auto runsHere = constraints.perWorker.find(id);
     if (request.needs.maxPerWorker > 0 &&
@@ -158,7 +159,8 @@
     const std::string& rack = request.needs.preferredRack;
     const bool isOtherRack =
       !rack.empty() && !entry.lease->record().hasLabel(rack);
-    const Resources left = entry.lease->freeRoom() - request.needs.resources;
+    const Resources left =
+      entry.lease->freeCapacity() - request.needs.resources;
     const Rank rank(
       constraints.avoidedWorkers.count(id) > 0, isOtherRack, left.cpuMillis());
     if (!best || rank < best->first)
@@ -191,7 +193,7 @@
 }
 
 void
-WorkerPool::reserve(const WorkerId& worker, const RunKey& key)
+WorkerPool::reserveForRun(const WorkerId& worker, const RunKey& key)
 {
   m_entries.at(worker).reservedFor = key.task();
 }
@@ -214,10 +216,10 @@
 }
 
 void
-WorkerPool::refresh(const WorkerId& worker, TimePoint now)
+WorkerPool::requestReport(const WorkerId& worker, TimePoint now)
 {
   if (Entry* entry = find(worker))
-    entry->lease->refresh(now);
+    entry->lease->requestReport(now);
 }
 
 bool
@@ -227,22 +229,24 @@
 {
   bool isRequested = false;
   for (auto& [id, entry] : m_entries) {
-    if (!isAllowed(id, entry, constraints) ||
+    if (!satisfiesConstraints(id, entry, constraints) ||
         !isEligible(entry, request, now) ||
         canStartSafely(entry, request, constraints, now))
       continue;
-    entry.lease->refresh(now);
+    entry.lease->requestReport(now);
     isRequested = true;
   }
   return isRequested;
 }
 
 std::optional<TimePoint>
-WorkerPool::unansweredUntil(const WorkerId& worker, const RunKey& key) const
+WorkerPool::unansweredStartExpiry(const WorkerId& worker,
+                                  const RunKey& key) const
 {
   const auto found = m_entries.find(worker);
-  return found == m_entries.end() ? std::nullopt
-                                  : found->second.lease->unansweredUntil(key);
+  return found == m_entries.end()
+           ? std::nullopt
+           : found->second.lease->unansweredStartExpiry(key);
 }
 
 std::vector<std::pair<WorkerId, UnansweredStart>>
@@ -281,9 +285,9 @@
                   TimePoint since)
 {
   for (auto& [id, entry] : m_entries) {
-    if (!entry.lease->hasStrays() || !hasReportedSince(*entry.lease, since))
+    if (!entry.lease->hasOrphans() || !hasReportedSince(*entry.lease, since))
       continue;
-    if (const auto key = entry.lease->adopt(task, resources))
+    if (const auto key = entry.lease->adoptOrphan(task, resources))
       return std::make_pair(id, *key);
   }
   return std::nullopt;
@@ -293,8 +297,8 @@
 WorkerPool::renewAfterAdoption(const WorkerId& worker, TimePoint now)
 {
   Entry* entry = find(worker);
-  if (entry != nullptr && !entry->lease->hasStrays())
-    entry->lease->refresh(now);
+  if (entry != nullptr && !entry->lease->hasOrphans())
+    entry->lease->requestReport(now);
 }
 
 std::optional<WorkerId>
@@ -317,15 +321,15 @@
 }
 
 void
-WorkerPool::holdAnswered(const WorkerId& worker,
-                         const SentHold& sent,
-                         const HoldAnswer& answer,
-                         TimePoint now)
+WorkerPool::leaseOrderAnswered(const WorkerId& worker,
+                               const SentLeaseOrder& sent,
+                               const LeaseOrderAnswer& answer,
+                               TimePoint now)
 {
   Entry* entry = find(worker);
   if (entry == nullptr)
     return;
-  entry->lease->holdAnswered(sent, answer, now);
+  entry->lease->leaseOrderAnswered(sent, answer, now);
   claimRestarted(worker, *entry, now);
 }
 
@@ -339,7 +343,7 @@
   if (entry == nullptr)
     return;
   if (answer == OrderFailure::Unhealthy)
-    entry->health.stalled(now);
+    entry->health.runStalled(now);
   entry->lease->startAnswered(key, answer, now);
 }
 
@@ -359,21 +363,21 @@
                            TimePoint now)
 {
   if (Entry* entry = find(worker))
-    entry->health.ended(RunEnd::Done, slowness, now);
+    entry->health.runEnded(RunEnd::Done, slowness, now);
 }
 
 void
 WorkerPool::recordFailure(const WorkerId& worker, TimePoint now)
 {
   if (Entry* entry = find(worker))
-    entry->health.ended(RunEnd::Failed, 0, now);
+    entry->health.runEnded(RunEnd::Failed, 0, now);
 }
 
 void
 WorkerPool::recordStall(const WorkerId& worker, TimePoint now)
 {
   if (Entry* entry = find(worker))
-    entry->health.stalled(now);
+    entry->health.runStalled(now);
 }
 
 void
@@ -396,7 +400,7 @@
     if (entry.shard == shard && entry.health.isUsable(lease.runCount(), now) &&
         canStart(entry, Resources(cpuMillis, 0, 0)))
       slots +=
-        lease.freeRoom().cpuMillis() / std::max<std::int64_t>(cpuMillis, 1);
+        lease.freeCapacity().cpuMillis() / std::max<std::int64_t>(cpuMillis, 1);
   }
   return static_cast<unsigned>(slots);
 }
@@ -409,7 +413,7 @@
     const WorkerLease& lease = *entry.lease;
     if (entry.shard == shard && lease.state() == LeaseState::Held &&
         !lease.record().isDraining() && !isEvacuated(lease.record().zone()) &&
-        !entry.health.isKeptOff(now))
+        !entry.health.isExcluded(now))
       total += lease.record().capacity().cpuMillis();
   }
   return total;
@@ -421,13 +425,13 @@
   std::int64_t largest = 0;
   for (const auto& [id, entry] : m_entries) {
     if (!isEvacuated(entry.lease->record().zone()))
-      largest = std::max(largest, entry.lease->freeRoom().cpuMillis());
+      largest = std::max(largest, entry.lease->freeCapacity().cpuMillis());
   }
   return largest;
 }
 
 std::vector<WorkerPool::WorkerView>
-WorkerPool::view() const
+WorkerPool::snapshot() const
 {
   std::vector<WorkerView> views;
   for (const auto& [id, entry] : m_entries) {
@@ -464,7 +468,7 @@
 WorkerPool::leaseHooks(const WorkerId& id)
 {
   WorkerLease::Hooks hooks;
-  hooks.sendHold = [this, id](const HoldOrder& order, Duration timeout) {
+  hooks.sendLeaseOrder = [this, id](const LeaseOrder& order, Duration timeout) {
     m_hooks.orders.hold(m_entries.at(id).lease->record(), order, timeout);
   };
   hooks.sendStart = [this, id](const StartOrder& order, Duration timeout) {
@@ -479,23 +483,23 @@
   hooks.startRejected = [this, id](const RunKey& key, OrderFailure failure) {
     m_hooks.startRejected(id, key, failure);
   };
-  hooks.startUnresolved = [this, id](const RunKey& key, TimePoint until) {
+  hooks.unresolvedStartFound = [this, id](const RunKey& key, TimePoint until) {
     logStartUnresolved(id, key);
-    m_hooks.startUnresolved(id, key, until);
+    m_hooks.unresolvedStartFound(id, key, until);
   };
-  hooks.runActive = [this, id](const RunKey& key, int percent) {
-    m_hooks.runActive(id, key, percent);
+  hooks.runProgressed = [this, id](const RunKey& key, int percent) {
+    m_hooks.runProgressed(id, key, percent);
   };
-  hooks.strayFound = [id](const RunKey& key) { logOrphanFound(id, key); };
-  hooks.strayStopped = [id](const auto& note) { logLeaseEvent(id, note); };
+  hooks.orphanFound = [id](const RunKey& key) { logOrphanFound(id, key); };
+  hooks.orphanStopped = [id](const auto& note) { logLeaseEvent(id, note); };
   hooks.stopFailed = [id](const auto& note) { logLeaseEvent(id, note); };
-  hooks.unwantedRenewal = [id](const auto& note) { logLeaseEvent(id, note); };
-  hooks.lapsed = [id](const auto& note) { logLeaseEvent(id, note); };
-  hooks.strayEnded = [this, id](const RunKey& key, RunEnd end) {
+  hooks.endingRunRenewed = [id](const auto& note) { logLeaseEvent(id, note); };
+  hooks.expired = [id](const auto& note) { logLeaseEvent(id, note); };
+  hooks.orphanEnded = [this, id](const RunKey& key, RunEnd end) {
     logOrphanEnded(id, key, end);
-    m_hooks.strayEnded(id, key, end);
+    m_hooks.orphanEnded(id, key, end);
   };
-  hooks.wantedUntil = m_hooks.wantedUntil;
+  hooks.runWantedUntil = m_hooks.runWantedUntil;
   hooks.mayResend = m_hooks.mayResend;
   hooks.stateChanged = [this, id](LeaseState state) {
     const auto found = m_entries.find(id);
@@ -511,7 +515,7 @@
     if (state == LeaseState::Fenced) {
       ++found->second.refusals;
       found->second.fencedAt.reset();
-      m_hooks.fenced(found->second.shard);
+      m_hooks.workerFenced(found->second.shard);
     }
   };
   return hooks;
@@ -583,14 +587,14 @@
 }
 
 bool
-WorkerPool::isAllowed(const WorkerId& id,
-                      const Entry& entry,
-                      const WorkerConstraints& constraints)
+WorkerPool::satisfiesConstraints(const WorkerId& id,
+                                 const Entry& entry,
+                                 const WorkerConstraints& constraints)
 {
   const bool isOtherRequired =
     constraints.requiredWorker && *constraints.requiredWorker != id;
   return !isOtherRequired &&
-         entry.lease->leasedUntil() <= constraints.leasedUntil;
+         entry.lease->leasedUntil() <= constraints.maxLeaseEnd;
 }
 
 bool
