--- a/src/libjobs/workerpool.h
+++ b/src/libjobs/workerpool.h
@@ -29,14 +29,14 @@
   /// Workers added after this time are not chosen: the submitter doesn't know
   /// them and would not notice that they are missing among the workers of the
   /// next holder.
-  TimePoint toldUntil{};
+  TimePoint advertisedUntil{};
   /// The only worker that may be chosen, and only right after a prompt report.
   /// It may still carry out an earlier start of the task, which would run at
   /// the same time as one on another worker.
   std::optional<WorkerId> requiredWorker = std::nullopt;
   /// Workers whose lease lasts longer are not chosen: leases are never
   /// shortened, and a run lasts as long as the lease of its worker.
-  TimePoint leasedUntil = TimePoint::max();
+  TimePoint maxLeaseEnd = TimePoint::max();
 };
 
 /// The workers of the shards that this daemon holds: their leases, their
@@ -48,7 +48,7 @@
   {
     WorkerLease::Settings lease;
     WorkerHealth::Settings health;
-    AnswerTimes::Settings answers;
+    OrderTimeouts::Settings answers;
     /// How long to wait before claiming back a worker that another daemon has
     /// claimed although that daemon doesn't hold the shard.
     Duration reclaimDelay = std::chrono::milliseconds(300);
@@ -65,22 +65,23 @@
     std::function<void(const WorkerId&, const RunKey&, RunEnd)> runEnded;
     std::function<void(const WorkerId&, const RunKey&, OrderFailure)>
       startRejected;
-    /// See `WorkerLease::Hooks::startUnresolved`.
+    /// See `WorkerLease::Hooks::unresolvedStartFound`.
     std::function<void(const WorkerId&, const RunKey&, TimePoint until)>
-      startUnresolved;
+      unresolvedStartFound;
     /// See `WorkerLease::Hooks::mayResend`.
     std::function<bool(const RunKey&)> mayResend;
-    std::function<void(const WorkerId&, const RunKey&, int percent)> runActive;
-    std::function<void(const WorkerId&, const RunKey&, RunEnd)> strayEnded;
+    std::function<void(const WorkerId&, const RunKey&, int percent)>
+      runProgressed;
+    std::function<void(const WorkerId&, const RunKey&, RunEnd)> orphanEnded;
     /// Another daemon has claimed a worker of a shard held here.
-    std::function<void(const ShardId&)> fenced;
+    std::function<void(const ShardId&)> workerFenced;
     /// Returns a fencing token higher than any known one. `refusals` is how
     /// often in a row a worker has refused this daemon's tokens. If there were
     /// any, the token is higher by a margin, as another daemon has one that
     /// isn't known here.
     std::function<FencingToken(unsigned refusals)> higherToken;
-    /// See `WorkerLease::Hooks::wantedUntil`.
-    std::function<std::optional<TimePoint>(const RunKey&)> wantedUntil;
+    /// See `WorkerLease::Hooks::runWantedUntil`.
+    std::function<std::optional<TimePoint>(const RunKey&)> runWantedUntil;
   };
 
   WorkerPool(Settings settings, Hooks hooks);
@@ -89,23 +90,26 @@
   /// claimed; workers that are no longer listed are removed once they have no
   /// runs. The list may change the division into shards: held shards that are
   /// no longer in `shards` must then be released.
-  void setList(const WorkerList& list, TimePoint now);
+  void setWorkers(const WorkerList& list, TimePoint now);
   std::set<ShardId> shards() const { return m_map.shards(); }
   /// Sets the maximum number of workers per shard in each zone.
-  void setBounds(const std::map<ZoneName, std::size_t>& bounds)
+  void setMaxShardSizes(const std::map<ZoneName, std::size_t>& bounds)
   {
-    m_map.setBounds(bounds);
+    m_map.setMaxShardSizes(bounds);
   }
-  /// See `ShardMap::adopt`.
-  bool adoptDivision(const ShardId& shard) { return m_map.adopt(shard); }
-  /// See `ShardMap::present`.
-  ShardId presentShard(const ShardId& shard) const
+  /// See `ShardMap::adoptShardCount`.
+  bool adoptShardCount(const ShardId& shard)
   {
-    return m_map.present(shard);
+    return m_map.adoptShardCount(shard);
+  }
+  /// See `ShardMap::currentShard`.
+  ShardId currentShard(const ShardId& shard) const
+  {
+    return m_map.currentShard(shard);
   }
 
   /// Sets the availability zones on whose workers nothing may be started.
-  void setEvacuated(std::set<ZoneName> zones)
+  void setEvacuatedZones(std::set<ZoneName> zones)
   {
     m_evacuated = std::move(zones);
   }
@@ -119,7 +123,7 @@
   /// Returns the digest of a shard's workers. In a held shard these are all
   /// workers with a lease, listed or not, as runs may be in progress on them;
   /// in another shard they are the listed workers.
-  ShardDigest digest(const ShardId& shard) const;
+  ShardDigest workersDigest(const ShardId& shard) const;
   /// Returns the listed workers of a shard, whether or not it is held here.
   std::vector<WorkerRecord> workersOf(const ShardId& shard) const;
   /// Removes the shard and its workers. Their runs go on under the next holder.
@@ -154,22 +158,22 @@
              const std::string& spec,
              TimePoint now);
   /// Starts nothing else on the worker until this run is over.
-  void reserve(const WorkerId& worker, const RunKey& key);
+  void reserveForRun(const WorkerId& worker, const RunKey& key);
   /// Whether the worker has restarted, or another worker has its address, so
   /// that its runs were lost. A silent worker may only be unreachable.
   bool isIncarnationOver(const WorkerId& worker) const;
   void stop(const WorkerId& worker, const RunKey& key, TimePoint now);
   /// Requests a report from a held worker at once.
-  void refresh(const WorkerId& worker, TimePoint now);
+  void requestReport(const WorkerId& worker, TimePoint now);
   /// Requests a report from each worker that has room for such a task but needs
   /// a recent report before the task can safely start there. Returns false if
   /// there is none.
   bool requestReportsForStart(const JobRequest& request,
                               const WorkerConstraints& constraints,
                               TimePoint now);
-  /// See `WorkerLease::unansweredUntil`.
-  std::optional<TimePoint> unansweredUntil(const WorkerId& worker,
-                                           const RunKey& key) const;
+  /// See `WorkerLease::unansweredStartExpiry`.
+  std::optional<TimePoint> unansweredStartExpiry(const WorkerId& worker,
+                                                 const RunKey& key) const;
   /// Returns the starts on workers of a held shard that may still be carried
   /// out.
   std::vector<std::pair<WorkerId, UnansweredStart>> unansweredStarts(
@@ -197,10 +201,10 @@
   /// which may stand for any worker.
   bool belongsToShard(const WorkerId& worker, const ShardId& shard) const;
 
-  void holdAnswered(const WorkerId& worker,
-                    const SentHold& sent,
-                    const HoldAnswer& answer,
-                    TimePoint now);
+  void leaseOrderAnswered(const WorkerId& worker,
+                          const SentLeaseOrder& sent,
+                          const LeaseOrderAnswer& answer,
+                          TimePoint now);
   void startAnswered(const WorkerId& worker,
                      const RunKey& key,
                      const OrderAnswer& answer,
@@ -231,7 +235,7 @@
     double slowness = 1;
     double failureShare = 0;
   };
-  std::vector<WorkerView> view() const;
+  std::vector<WorkerView> snapshot() const;
 
 private:
   struct Entry
@@ -273,9 +277,9 @@
                   TimePoint now) const;
   /// Whether the worker satisfies the constraints that no new report would
   /// change.
-  static bool isAllowed(const WorkerId& id,
-                        const Entry& entry,
-                        const WorkerConstraints& constraints);
+  static bool satisfiesConstraints(const WorkerId& id,
+                                   const Entry& entry,
+                                   const WorkerConstraints& constraints);
   /// Whether the worker is eligible and would stay within its capacity even
   /// after an undetected restart.
   bool canStartSafely(const Entry& entry,
@@ -285,7 +289,7 @@
 
   const Settings m_settings;
   const Hooks m_hooks;
-  const std::shared_ptr<AnswerTimes> m_answerTimes;
+  const std::shared_ptr<OrderTimeouts> m_answerTimes;
   WorkerList m_list;
   ShardMap m_map;
   std::map<ShardId, FencingToken> m_shards;
--- a/src/libpeers/peercodec.cpp
+++ b/src/libpeers/peercodec.cpp
@@ -38,7 +38,7 @@
 json
 toJson(const PeerAddresses& message)
 {
-  return json::array({ toJson(message.known) });
+  return json::array({ toJson(message.addresses) });
 }
 
 json
@@ -50,48 +50,48 @@
                        hello.zone.value(),
                        hello.address.host(),
                        hello.address.port(),
-                       toJson(hello.known) });
+                       toJson(hello.knownAddresses) });
 }
 
 json
-toJson(const Evacuations& evacuations)
+toJson(const EvacuatedZones& evacuations)
 {
   json zones = json::array();
   for (const ZoneName& zone : evacuations.zones)
     zones.push_back(zone.value());
-  return json::array({ evacuations.asOf, std::move(zones) });
+  return json::array({ evacuations.logPosition, std::move(zones) });
 }
 
 json
-toJson(const std::vector<LongJob>& jobs)
+toJson(const std::vector<LongRunningJob>& jobs)
 {
   json list = json::array();
-  for (const LongJob& job : jobs)
+  for (const LongRunningJob& job : jobs)
     list.push_back(json::array({ job.job.value(), job.age.count() }));
   return list;
 }
 
 json
-toJson(const PeerBeat& beat)
+toJson(const PeerHeartbeat& beat)
 {
   json shards = json::array();
   for (const auto& [shard, held] : beat.shards)
-    shards.push_back(
-      json::array({ toJson(shard), held.token, held.places, held.workers }));
+    shards.push_back(json::array(
+      { toJson(shard), held.token, held.freeSlots, held.workersDigest }));
   return json::array({ beat.isLeaving,
                        beat.isReady,
                        std::move(shards),
                        beat.highestToken,
                        beat.configVersion,
-                       beat.isStrained,
+                       beat.isCpuStarved,
                        beat.slowness,
-                       beat.isNew,
-                       beat.carried,
+                       beat.hasJustStarted,
+                       beat.workerCapacity,
                        toJson(beat.evacuations),
-                       beat.nextWithin.count(),
+                       beat.nextHeartbeatWithin.count(),
                        beat.sentAt,
-                       toJson(beat.longJobs),
-                       beat.asksAck });
+                       toJson(beat.longRunningJobs),
+                       beat.isAckRequested });
 }
 
 json
@@ -118,11 +118,11 @@
 }
 
 json
-toJson(const std::vector<TaskPlace>& places)
+toJson(const std::vector<TaskLocation>& locations)
 {
   json list = json::array();
-  for (const TaskPlace& place : places)
-    list.push_back(json::array({ place.task, place.worker.value() }));
+  for (const TaskLocation& location : locations)
+    list.push_back(json::array({ location.task, location.worker.value() }));
   return list;
 }
 
@@ -137,14 +137,15 @@
 {
   if (!quarantine)
     return nullptr;
-  const json lastHolders =
-    quarantine->lastHolders ? toJson(*quarantine->lastHolders) : json();
-  const json underWay =
-    quarantine->underWay ? toJson(*quarantine->underWay) : json();
-  return json::array({ lastHolders,
-                       quarantine->age.count(),
-                       quarantine->remaining.count(),
-                       underWay });
+  const json lostHoldersWorkers = quarantine->lostHoldersWorkers
+                                    ? toJson(*quarantine->lostHoldersWorkers)
+                                    : json();
+  const json activeTasks =
+    quarantine->activeTasks ? toJson(*quarantine->activeTasks) : json();
+  return json::array({ lostHoldersWorkers,
+                       quarantine->sinceLoss.count(),
+                       quarantine->timeRemaining.count(),
+                       activeTasks });
 }
 
 json
@@ -157,9 +158,9 @@
 }
 
 json
-toJson(const PeerBeatAck& ack)
+toJson(const PeerHeartbeatAck& ack)
 {
-  return json::array({ ack.settled, ack.newest });
+  return json::array({ ack.newestProcessed, ack.newestReceived });
 }
 
 json
@@ -179,7 +180,7 @@
                        toJson(request.quarantine),
                        request.previousPart,
                        request.mayHaveRun,
-                       request.mayBeReturned,
+                       request.allowsReturn,
                        toJson(request.crashes),
                        toJson(submit.ack),
                        submit.ackAge.count(),
@@ -194,7 +195,7 @@
                        ended.end.retryAfter.count(),
                        ended.end.done,
                        ended.end.nextRun,
-                       toJson(ended.end.underWay),
+                       toJson(ended.end.activeTasks),
                        toJson(ended.end.crashes) });
 }
 
@@ -216,7 +217,7 @@
 }
 
 json
-toJson(const PeerKeep& keep)
+toJson(const PeerJobAdvertised& keep)
 {
   return json::array({ toJson(keep.key) });
 }
@@ -228,9 +229,9 @@
 }
 
 json
-toJson(const PeerRecalled& recalled)
+toJson(const PeerRecallAck& recalled)
 {
-  return json::array({ recalled.job.value(), recalled.overIn.count() });
+  return json::array({ recalled.job.value(), recalled.endedWithin.count() });
 }
 
 json
@@ -257,7 +258,7 @@
 }
 
 json
-toJson(const PeerWorkerNews& news)
+toJson(const PeerWorkerChanges& news)
 {
   json entries = json::array();
   for (const auto& [id, entry] : news.entries)
@@ -326,24 +327,24 @@
   hello.incarnation = Incarnation(text(value.at(2)));
   hello.zone = ZoneName(text(value.at(3)));
   hello.address = Address(text(value.at(4)), value.at(5).get<std::uint16_t>());
-  hello.known = readAddresses(value.at(6));
+  hello.knownAddresses = readAddresses(value.at(6));
   return hello;
 }
 
-Evacuations
+EvacuatedZones
 readEvacuations(const json& value)
 {
-  Evacuations evacuations;
-  evacuations.asOf = value.at(0).get<std::uint64_t>();
+  EvacuatedZones evacuations;
+  evacuations.logPosition = value.at(0).get<std::uint64_t>();
   for (const json& zone : value.at(1))
     evacuations.zones.insert(ZoneName(text(zone)));
   return evacuations;
 }
 
-PeerBeat
+PeerHeartbeat
 readBeat(const json& value)
 {
-  PeerBeat beat;
+  PeerHeartbeat beat;
   beat.isLeaving = value.at(0).get<bool>();
   beat.isReady = value.at(1).get<bool>();
   for (const json& shard : value.at(2))
@@ -352,18 +353,19 @@
                                             shard.at(3).get<ShardDigest>() };
   beat.highestToken = value.at(3).get<std::uint64_t>();
   beat.configVersion = value.at(4).get<std::uint64_t>();
-  beat.isStrained = value.at(5).get<bool>();
+  beat.isCpuStarved = value.at(5).get<bool>();
   beat.slowness = value.at(6).get<int>();
-  beat.isNew = value.at(7).get<bool>();
-  beat.carried = value.at(8).get<std::size_t>();
-  if (beat.carried == 0)
+  beat.hasJustStarted = value.at(7).get<bool>();
+  beat.workerCapacity = value.at(8).get<std::size_t>();
+  if (beat.workerCapacity == 0)
     throw std::invalid_argument("a daemon that can hold no worker");
   beat.evacuations = readEvacuations(value.at(9));
-  beat.nextWithin = duration(value.at(10));
+  beat.nextHeartbeatWithin = duration(value.at(10));
   beat.sentAt = value.at(11).get<std::int64_t>();
   for (const json& job : value.at(12))
-    beat.longJobs.push_back({ JobId(text(job.at(0))), duration(job.at(1)) });
-  beat.asksAck = value.at(13).get<bool>();
+    beat.longRunningJobs.push_back(
+      { JobId(text(job.at(0))), duration(job.at(1)) });
+  beat.isAckRequested = value.at(13).get<bool>();
   return beat;
 }
 
@@ -394,14 +396,14 @@
   return needs;
 }
 
-std::vector<TaskPlace>
-readPlaces(const json& value)
+std::vector<TaskLocation>
+readLocations(const json& value)
 {
-  std::vector<TaskPlace> places;
-  for (const json& place : value)
-    places.push_back(
-      { place.at(0).get<TaskIndex>(), WorkerId(text(place.at(1))) });
-  return places;
+  std::vector<TaskLocation> locations;
+  for (const json& location : value)
+    locations.push_back(
+      { location.at(0).get<TaskIndex>(), WorkerId(text(location.at(1))) });
+  return locations;
 }
 
 std::optional<Quarantine>
@@ -411,13 +413,13 @@
     return std::nullopt;
   Quarantine quarantine;
   if (!value.at(0).is_null())
-    quarantine.lastHolders =
+    quarantine.lostHoldersWorkers =
       ShardWorkers{ readShard(value.at(0).at(0)),
                     value.at(0).at(1).get<ShardDigest>() };
-  quarantine.age = duration(value.at(1));
-  quarantine.remaining = duration(value.at(2));
+  quarantine.sinceLoss = duration(value.at(1));
+  quarantine.timeRemaining = duration(value.at(2));
   if (!value.at(3).is_null())
-    quarantine.underWay = readPlaces(value.at(3));
+    quarantine.activeTasks = readLocations(value.at(3));
   return quarantine;
 }
 
@@ -430,7 +432,7 @@
   return crashes;
 }
 
-PeerBeatAck
+PeerHeartbeatAck
 readBeatAck(const json& value)
 {
   return { value.at(0).get<std::int64_t>(), value.at(1).get<std::int64_t>() };
@@ -453,7 +455,7 @@
   request.quarantine = readQuarantine(value.at(10));
   request.previousPart = value.at(11).get<std::uint64_t>();
   request.mayHaveRun = value.at(12).get<bool>();
-  request.mayBeReturned = value.at(13).get<bool>();
+  request.allowsReturn = value.at(13).get<bool>();
   request.crashes = readCrashes(value.at(14));
   request.exclusiveFor = duration(value.at(17));
   return { std::move(request),
@@ -473,7 +475,7 @@
   ended.end.retryAfter = duration(value.at(2));
   ended.end.done = value.at(3).get<std::vector<TaskIndex>>();
   ended.end.nextRun = value.at(4).get<std::uint64_t>();
-  ended.end.underWay = readPlaces(value.at(5));
+  ended.end.activeTasks = readLocations(value.at(5));
   ended.end.crashes = readCrashes(value.at(6));
   return ended;
 }
@@ -503,10 +505,10 @@
   return part;
 }
 
-PeerWorkerNews
+PeerWorkerChanges
 readWorkerNews(const json& value)
 {
-  PeerWorkerNews news;
+  PeerWorkerChanges news;
   news.from = value.at(0).get<std::uint64_t>();
   news.end = value.at(1).get<std::uint64_t>();
   for (const json& entry : value.at(2))
@@ -559,11 +561,11 @@
     case 12:
       return readUnresolvedStarts(value);
     case 13:
-      return PeerKeep{ readKey(value.at(0)) };
+      return PeerJobAdvertised{ readKey(value.at(0)) };
     case 14:
       return PeerRecall{ JobId(text(value.at(0))), duration(value.at(1)) };
     case 15:
-      return PeerRecalled{ JobId(text(value.at(0))), duration(value.at(1)) };
+      return PeerRecallAck{ JobId(text(value.at(0))), duration(value.at(1)) };
     default:
       throw std::invalid_argument("an unknown kind");
   }
--- a/src/libpeers/peerlinks.cpp
+++ b/src/libpeers/peerlinks.cpp
@@ -26,7 +26,7 @@
 constexpr Duration startupTime = std::chrono::milliseconds(1000);
 
 WebSocketTransport::Settings
-transportSettings(const PeerLinks::Settings& settings)
+transportSettings(const PeerConnections::Settings& settings)
 {
   WebSocketTransport::Settings transport;
   transport.maxMessageBytes = maxMessageBytes;
@@ -37,10 +37,10 @@
 
 } // namespace
 
-PeerLinks::PeerLinks(boost::asio::io_context& context,
-                     PeerHello self,
-                     Settings settings,
-                     Hooks hooks)
+PeerConnections::PeerConnections(boost::asio::io_context& context,
+                                 PeerHello self,
+                                 Settings settings,
+                                 Hooks hooks)
   : m_self(std::move(self))
   , m_settings(std::move(settings))
   , m_hooks(std::move(hooks))
@@ -50,7 +50,7 @@
 }
 
 std::optional<Problem>
-PeerLinks::listen()
+PeerConnections::listen()
 {
   const std::string& host = m_settings.listenHost.empty()
                               ? m_self.address.host()
@@ -63,7 +63,7 @@
 }
 
 void
-PeerLinks::addKnown(const Address& address, TimePoint now)
+PeerConnections::addAddress(const Address& address, TimePoint now)
 {
   if (address == m_self.address)
     return;
@@ -77,7 +77,7 @@
 }
 
 bool
-PeerLinks::send(const VmId& vm, const PeerMessage& message)
+PeerConnections::send(const VmId& vm, const PeerMessage& message)
 {
   const auto address = m_addresses.find(vm);
   if (address == m_addresses.end())
@@ -90,7 +90,8 @@
 }
 
 void
-PeerLinks::sendToEach(const std::vector<VmId>& vms, const PeerMessage& message)
+PeerConnections::sendToEach(const std::vector<VmId>& vms,
+                            const PeerMessage& message)
 {
   if (vms.empty())
     return;
@@ -106,15 +107,15 @@
 }
 
 void
-PeerLinks::setClose(const VmId& vm, bool isClose, TimePoint now)
+PeerConnections::setSharesJobs(const VmId& vm, bool isClose, TimePoint now)
 {
   if (Link* link = linkTo(vm))
-    link->silence.setClose(isClose, now);
+    link->silence.setSharesJobs(isClose, now);
 }
 
 /// Returns null if there is no connection.
-PeerLinks::Link*
-PeerLinks::linkTo(const VmId& vm)
+PeerConnections::Link*
+PeerConnections::linkTo(const VmId& vm)
 {
   const auto address = m_addresses.find(vm);
   if (address == m_addresses.end())
@@ -124,7 +125,7 @@
 }
 
 bool
-PeerLinks::isUp(const VmId& vm) const
+PeerConnections::isConnected(const VmId& vm) const
 {
   const auto address = m_addresses.find(vm);
   return address != m_addresses.end() &&
@@ -132,7 +133,7 @@
 }
 
 std::set<VmId>
-PeerLinks::up() const
+PeerConnections::connectedPeers() const
 {
   std::set<VmId> all;
   for (const auto& [vm, address] : m_addresses) {
@@ -143,7 +144,7 @@
 }
 
 void
-PeerLinks::dropAll(TimePoint now)
+PeerConnections::closeAll(TimePoint now)
 {
   for (auto& [address, peer] : m_peers) {
     if (peer.dialled) {
@@ -159,7 +160,7 @@
 }
 
 void
-PeerLinks::tick(TimePoint now)
+PeerConnections::tick(TimePoint now)
 {
   dropRetired(now);
   std::vector<Address> forgotten;
@@ -173,7 +174,7 @@
     if (peer.dialled) {
       if (now - peer.dialledAt > m_settings.connectTimeout)
         dialFailed(peer, now);
-    } else if (now - peer.lastUp > m_settings.forgetAfter) {
+    } else if (now - peer.lastUp > m_settings.unreachableRemovalDelay) {
       forgotten.push_back(address);
     }
   }
@@ -187,7 +188,7 @@
 /// Dials due peers, starting with the addresses after this daemon's own, so
 /// that not all daemons dial the same ones first.
 void
-PeerLinks::dialDuePeers(TimePoint now)
+PeerConnections::dialDuePeers(TimePoint now)
 {
   auto dialling = static_cast<std::size_t>(
     std::count_if(m_peers.begin(), m_peers.end(), [](const auto& item) {
@@ -209,13 +210,13 @@
 }
 
 void
-PeerLinks::close()
+PeerConnections::close()
 {
   m_transport.closeAll();
 }
 
 WebSocketTransport::Hooks
-PeerLinks::transportHooks()
+PeerConnections::transportHooks()
 {
   WebSocketTransport::Hooks hooks;
   hooks.accepted = [this](LinkId link) { accepted(link); };
@@ -227,20 +228,20 @@
 }
 
 void
-PeerLinks::accepted(LinkId link)
+PeerConnections::accepted(LinkId link)
 {
   const TimePoint now = steadyNow();
-  m_links[link] = { std::nullopt, SilenceWatch(now), false };
+  m_links[link] = { std::nullopt, SilenceDetector(now), false };
   write(link, hello());
 }
 
 void
-PeerLinks::received(LinkId link, const std::string& bytes)
+PeerConnections::received(LinkId link, const std::string& bytes)
 {
   const auto found = m_links.find(link);
   if (found == m_links.end())
     return;
-  found->second.silence.heard(steadyNow());
+  found->second.silence.messageReceived(steadyNow());
   const Result<PeerMessage> message = decodePeerMessage(bytes);
   if (!message) {
     logEvent(LogLevel::Warning,
@@ -253,8 +254,8 @@
     return;
   }
   if (const auto* news = std::get_if<PeerAddresses>(&*message)) {
-    for (const Address& address : news->known)
-      addKnown(address, steadyNow());
+    for (const Address& address : news->addresses)
+      addAddress(address, steadyNow());
     return;
   }
   if (!found->second.peer)
@@ -262,17 +263,17 @@
   const auto peer = m_peers.find(*found->second.peer);
   if (peer == m_peers.end() || isRetiredSubmit(peer->second, link, *message))
     return;
-  if (const auto* beat = std::get_if<PeerBeat>(&*message))
-    found->second.silence.promised(beat->nextWithin);
+  if (const auto* beat = std::get_if<PeerHeartbeat>(&*message))
+    found->second.silence.setNextHeartbeatWithin(beat->nextHeartbeatWithin);
   m_hooks.received(peer->second.vm, *message);
 }
 
 /// Whether a job was received over a retired connection. The sender takes such
 /// a job for lost with the connection and would not cancel it here.
 bool
-PeerLinks::isRetiredSubmit(const Peer& peer,
-                           LinkId link,
-                           const PeerMessage& message) const
+PeerConnections::isRetiredSubmit(const Peer& peer,
+                                 LinkId link,
+                                 const PeerMessage& message) const
 {
   const auto* submit = std::get_if<PeerSubmit>(&message);
   if (submit == nullptr || peer.link == link)
@@ -284,7 +285,7 @@
 }
 
 void
-PeerLinks::closed(LinkId link)
+PeerConnections::closed(LinkId link)
 {
   m_links.erase(link);
   const TimePoint now = steadyNow();
@@ -302,10 +303,10 @@
 }
 
 void
-PeerLinks::helloReceived(LinkId link, const PeerHello& hello)
+PeerConnections::helloReceived(LinkId link, const PeerHello& hello)
 {
   const TimePoint now = steadyNow();
-  addKnown(hello.address, now);
+  addAddress(hello.address, now);
   const auto found = m_peers.find(hello.address);
   if (found == m_peers.end())
     return;
@@ -325,7 +326,7 @@
   }
   // Messages in transit on the other connection may arrive after those that
   // follow on this one, which matters only if the two daemons share jobs.
-  if (haveBothDialled && !m_links.at(*peer.link).silence.isClose())
+  if (haveBothDialled && !m_links.at(*peer.link).silence.sharesJobs())
     retire(*peer.link, now);
   else if (peer.link)
     lost(peer, PeerLoss::Closed, now);
@@ -334,31 +335,32 @@
   peer.vm = hello.vm;
   peer.incarnation = hello.incarnation;
   m_addresses[hello.vm] = hello.address;
-  for (const Address& address : hello.known)
-    addKnown(address, now);
+  for (const Address& address : hello.knownAddresses)
+    addAddress(address, now);
   logDecision(LogLevel::Info,
               "peer-up",
               { { "peer", hello.vm },
                 { "zone", hello.zone },
                 { "incarnation", hello.incarnation } });
   sendUnknownAddresses(link, hello);
-  m_hooks.up(hello);
+  m_hooks.connected(hello);
 }
 
 /// Sends the addresses that the other daemon doesn't know. It connects to them
 /// by itself: telling all others of each daemon that starts would take as many
 /// messages as there are pairs of daemons.
 void
-PeerLinks::sendUnknownAddresses(LinkId link, const PeerHello& hello)
+PeerConnections::sendUnknownAddresses(LinkId link, const PeerHello& hello)
 {
-  std::set<Address> known(hello.known.begin(), hello.known.end());
+  std::set<Address> known(hello.knownAddresses.begin(),
+                          hello.knownAddresses.end());
   known.insert(hello.address);
   PeerAddresses news;
   for (const auto& [address, peer] : m_peers) {
     if (known.count(address) == 0)
-      news.known.push_back(address);
+      news.addresses.push_back(address);
   }
-  if (!news.known.empty())
+  if (!news.addresses.empty())
     write(link, news);
 }
 
@@ -366,7 +368,7 @@
 /// A second connection from the same side means that this side has given up the
 /// first.
 bool
-PeerLinks::isDialledByOtherSide(const Peer& peer, LinkId link) const
+PeerConnections::isDialledByOtherSide(const Peer& peer, LinkId link) const
 {
   return m_links.at(link).isDialled != m_links.at(*peer.link).isDialled;
 }
@@ -375,7 +377,7 @@
 /// at the same time; both keep the connection that the one with the lower
 /// address dialled.
 bool
-PeerLinks::isPreferred(LinkId link, const Address& address) const
+PeerConnections::isPreferred(LinkId link, const Address& address) const
 {
   return m_links.at(link).isDialled == (m_self.address < address);
 }
@@ -383,13 +385,13 @@
 /// Keeps a duplicate connection open for a while. The other side may not know
 /// yet which connection is kept, and would take an immediate drop for a loss.
 void
-PeerLinks::retire(LinkId link, TimePoint now)
+PeerConnections::retire(LinkId link, TimePoint now)
 {
   m_retired.emplace_back(link, now + retireDelay);
 }
 
 void
-PeerLinks::dropRetired(TimePoint now)
+PeerConnections::dropRetired(TimePoint now)
 {
   while (!m_retired.empty() && now >= m_retired.front().second) {
     const LinkId link = m_retired.front().first;
@@ -400,7 +402,7 @@
 }
 
 void
-PeerLinks::lost(Peer& peer, PeerLoss loss, TimePoint now)
+PeerConnections::lost(Peer& peer, PeerLoss loss, TimePoint now)
 {
   const LinkId link = *peer.link;
   peer.link.reset();
@@ -411,20 +413,20 @@
     LogLevel::Info,
     "peer-down",
     { { "peer", peer.vm }, { "wasSilent", loss == PeerLoss::Silent } });
-  m_hooks.down(peer.vm, loss);
+  m_hooks.disconnected(peer.vm, loss);
 }
 
 void
-PeerLinks::dial(const Address& address, Peer& peer, TimePoint now)
+PeerConnections::dial(const Address& address, Peer& peer, TimePoint now)
 {
   const LinkId link = m_transport.dial(address);
-  m_links[link] = { std::nullopt, SilenceWatch(now), true };
+  m_links[link] = { std::nullopt, SilenceDetector(now), true };
   peer.dialled = link;
   peer.dialledAt = now;
 }
 
 void
-PeerLinks::dialFailed(Peer& peer, TimePoint now)
+PeerConnections::dialFailed(Peer& peer, TimePoint now)
 {
   if (peer.dialled) {
     m_transport.drop(*peer.dialled);
@@ -437,17 +439,17 @@
 }
 
 void
-PeerLinks::write(LinkId link, const PeerMessage& message)
+PeerConnections::write(LinkId link, const PeerMessage& message)
 {
   m_transport.send(link, encodePeerMessage(message));
 }
 
 PeerHello
-PeerLinks::hello() const
+PeerConnections::hello() const
 {
   PeerHello hello = m_self;
   for (const auto& [address, peer] : m_peers)
-    hello.known.push_back(address);
+    hello.knownAddresses.push_back(address);
   return hello;
 }
 
--- a/src/libpeers/peerlinks.h
+++ b/src/libpeers/peerlinks.h
@@ -20,13 +20,13 @@
 /// the addresses that they know. Of two daemons the one with the lower address
 /// dials; the other one dials too if it hears nothing. Everything runs on the
 /// thread of the I/O context.
-class PeerLinks
+class PeerConnections
 {
 public:
   struct Settings
   {
     /// When a silent connection is given up.
-    SilenceWatch::Settings silence;
+    SilenceDetector::Settings silence;
     /// Timeout of a new connection, its `PeerHello` included.
     Duration connectTimeout = std::chrono::milliseconds(600);
     /// Limit of connections being established at the same time. Without it, a
@@ -39,28 +39,28 @@
     std::string listenHost;
     /// An address that could not be reached for this long is removed unless the
     /// platform still lists it.
-    Duration forgetAfter = std::chrono::seconds(30);
+    Duration unreachableRemovalDelay = std::chrono::seconds(30);
   };
 
   /// No hook may be empty.
   struct Hooks
   {
-    std::function<void(const PeerHello&)> up;
-    std::function<void(const VmId&, PeerLoss)> down;
+    std::function<void(const PeerHello&)> connected;
+    std::function<void(const VmId&, PeerLoss)> disconnected;
     std::function<void(const VmId&, const PeerMessage&)> received;
   };
 
-  PeerLinks(boost::asio::io_context& context,
-            PeerHello self,
-            Settings settings,
-            Hooks hooks);
+  PeerConnections(boost::asio::io_context& context,
+                  PeerHello self,
+                  Settings settings,
+                  Hooks hooks);
 
   /// Listens at the daemon's own address.
   std::optional<Problem> listen();
 
   /// Adds the address of a daemon to connect to.
-  void addKnown(const Address& address, TimePoint now);
-  std::size_t knownCount() const { return m_peers.size(); }
+  void addAddress(const Address& address, TimePoint now);
+  std::size_t knownPeerCount() const { return m_peers.size(); }
 
   /// Returns false if there is no connection.
   bool send(const VmId& vm, const PeerMessage& message);
@@ -68,12 +68,12 @@
   void sendToEach(const std::vector<VmId>& vms, const PeerMessage& message);
   /// Sets whether this daemon shares jobs with another one, so that it has to
   /// notice the other's loss soon.
-  void setClose(const VmId& vm, bool isClose, TimePoint now);
-  bool isUp(const VmId& vm) const;
-  std::set<VmId> up() const;
+  void setSharesJobs(const VmId& vm, bool isClose, TimePoint now);
+  bool isConnected(const VmId& vm) const;
+  std::set<VmId> connectedPeers() const;
 
   /// Drops every connection, for example after the process was paused.
-  void dropAll(TimePoint now);
+  void closeAll(TimePoint now);
   /// Dials daemons and gives up silent connections; to be called about every 20
   /// ms.
   void tick(TimePoint now);
@@ -95,7 +95,7 @@
   {
     /// Empty until the peer's `PeerHello` was received.
     std::optional<Address> peer;
-    SilenceWatch silence;
+    SilenceDetector silence;
     bool isDialled = false;
   };
 
--- a/src/libpeers/peermessage.h
+++ b/src/libpeers/peermessage.h
@@ -30,44 +30,45 @@
   /// Address at which the daemon accepts connections.
   Address address;
   /// Addresses of other daemons that the sender knows.
-  std::vector<Address> known;
+  std::vector<Address> knownAddresses;
 };
 
 /// Addresses of daemons that the receiver doesn't know yet.
 struct PeerAddresses
 {
-  std::vector<Address> known;
+  std::vector<Address> addresses;
 };
 
 /// A shard that a daemon holds.
 struct HeldShard
 {
   std::uint64_t token = 0;
-  /// Free places on the shard's workers.
-  unsigned places = 0;
+  /// Free slots on the shard's workers.
+  unsigned freeSlots = 0;
   /// Digest of the workers that the holder knows.
-  ShardDigest workers = 0;
+  ShardDigest workersDigest = 0;
 
   friend bool operator==(const HeldShard& a, const HeldShard& b)
   {
-    return a.token == b.token && a.places == b.places && a.workers == b.workers;
+    return a.token == b.token && a.freeSlots == b.freeSlots &&
+           a.workersDigest == b.workersDigest;
   }
 };
 
 /// A job that a daemon's caller submitted and that has been in progress for a
 /// while.
-struct LongJob
+struct LongRunningJob
 {
   JobId job;
   /// Time since the caller's request arrived; zero if the caller gave the job
   /// up and its runs may still be stopping.
   Duration age = Duration::zero();
 
-  friend bool operator==(const LongJob& a, const LongJob& b)
+  friend bool operator==(const LongRunningJob& a, const LongRunningJob& b)
   {
     return a.job == b.job && a.age == b.age;
   }
-  friend bool operator!=(const LongJob& a, const LongJob& b)
+  friend bool operator!=(const LongRunningJob& a, const LongRunningJob& b)
   {
     return !(a == b);
   }
@@ -75,51 +76,52 @@
 
 /// Heartbeat. Sent at short intervals, and at once when the shards or
 /// `isLeaving` change.
-struct PeerBeat
+struct PeerHeartbeat
 {
   bool isLeaving = false;
   bool isReady = false;
   /// The sender gets too little processor time for its work.
-  bool isStrained = false;
+  bool isCpuStarved = false;
   /// How slow the sender's machine is: the logarithm of the time that a fixed
   /// amount of work takes.
   int slowness = 0;
   /// The sender has started only shortly before.
-  bool isNew = false;
+  bool hasJustStarted = false;
   /// How many workers the sender can hold.
-  std::size_t carried = 1;
+  std::size_t workerCapacity = 1;
   std::map<ShardId, HeldShard> shards;
   /// The highest fencing token that the sender knows.
   std::uint64_t highestToken = 0;
   /// Version of the configuration in force at the sender.
   std::uint64_t configVersion = 0;
-  Evacuations evacuations;
+  EvacuatedZones evacuations;
   /// Time within which the next heartbeat follows.
-  Duration nextWithin = Duration::zero();
+  Duration nextHeartbeatWithin = Duration::zero();
   /// Send time by the sender's steady clock, which receivers only send back.
   std::int64_t sentAt = 0;
   /// All long-running jobs of the sender's callers.
-  std::vector<LongJob> longJobs;
+  std::vector<LongRunningJob> longRunningJobs;
   /// Whether the receiver has to acknowledge the heartbeat at once, for the
-  /// sake of `longJobs`.
-  bool asksAck = false;
+  /// sake of `longRunningJobs`.
+  bool isAckRequested = false;
 };
 
 /// Acknowledges heartbeats; sent to daemons that hold jobs of the sender. Both
 /// times are `sentAt` of a heartbeat, or 0 if there was none.
-struct PeerBeatAck
+struct PeerHeartbeatAck
 {
   /// Of the newest heartbeat that was received before a complete iteration of
   /// the event loop.
-  std::int64_t settled = 0;
+  std::int64_t newestProcessed = 0;
   /// Of the newest heartbeat that was received.
-  std::int64_t newest = 0;
+  std::int64_t newestReceived = 0;
 
-  friend bool operator==(const PeerBeatAck& a, const PeerBeatAck& b)
+  friend bool operator==(const PeerHeartbeatAck& a, const PeerHeartbeatAck& b)
   {
-    return a.settled == b.settled && a.newest == b.newest;
+    return a.newestProcessed == b.newestProcessed &&
+           a.newestReceived == b.newestReceived;
   }
-  friend bool operator!=(const PeerBeatAck& a, const PeerBeatAck& b)
+  friend bool operator!=(const PeerHeartbeatAck& a, const PeerHeartbeatAck& b)
   {
     return !(a == b);
   }
@@ -129,7 +131,7 @@
 struct PeerSubmit
 {
   JobRequest request;
-  PeerBeatAck ack = {};
+  PeerHeartbeatAck ack = {};
   /// Time between the receipt of the newest heartbeat in `ack` and the sending
   /// of this message.
   Duration ackAge = Duration::zero();
@@ -157,7 +159,7 @@
 
 /// Reports that other daemons have been informed of a job: see
 /// `JobRequest::exclusiveFor`.
-struct PeerKeep
+struct PeerJobAdvertised
 {
   JobKey key;
 };
@@ -172,11 +174,11 @@
 };
 
 /// Answers a recall: the job is being stopped or was not there any more.
-struct PeerRecalled
+struct PeerRecallAck
 {
   JobId job;
   /// Time after which all runs of the job have ended.
-  Duration overIn = Duration::zero();
+  Duration endedWithin = Duration::zero();
 };
 
 /// Requests a part of a configuration from a daemon that has advertised a newer
@@ -214,7 +216,7 @@
 
 /// Changes of the platform's list of workers, forwarded by a daemon that reads
 /// the list to others of its zone.
-struct PeerWorkerNews
+struct PeerWorkerChanges
 {
   /// Range of the platform's log that the changes were read from.
   std::uint64_t from = 0;
@@ -223,7 +225,7 @@
   /// them; an empty entry was removed.
   std::map<std::string, std::string> entries;
 
-  friend bool operator==(const PeerWorkerNews& a, const PeerWorkerNews& b)
+  friend bool operator==(const PeerWorkerChanges& a, const PeerWorkerChanges& b)
   {
     return a.from == b.from && a.end == b.end && a.entries == b.entries;
   }
@@ -252,7 +254,7 @@
 };
 
 using PeerMessage = std::variant<PeerHello,
-                                 PeerBeat,
+                                 PeerHeartbeat,
                                  PeerSubmit,
                                  PeerJobEnd,
                                  PeerCancel,
@@ -261,11 +263,11 @@
                                  PeerAddresses,
                                  PeerConfigRequest,
                                  PeerConfigBusy,
-                                 PeerWorkerNews,
-                                 PeerBeatAck,
+                                 PeerWorkerChanges,
+                                 PeerHeartbeatAck,
                                  PeerUnresolvedStarts,
-                                 PeerKeep,
+                                 PeerJobAdvertised,
                                  PeerRecall,
-                                 PeerRecalled>;
+                                 PeerRecallAck>;
 
 } // namespace cowslippin
--- a/src/libpeers/silencewatch.h
+++ b/src/libpeers/silencewatch.h
@@ -12,7 +12,7 @@
 /// Each heartbeat of a peer announces within what time the next one follows. A
 /// peer that shares jobs with this daemon is held to the short interval
 /// instead, from the moment the first of these jobs is handed over.
-class SilenceWatch
+class SilenceDetector
 {
 public:
   struct Settings
@@ -20,36 +20,40 @@
     /// Silence limit of a peer that shares jobs with this daemon. Three
     /// heartbeats at the short interval are sent in that time. The limit is
     /// part of the sum that ends runs before a caller submits again.
-    Duration closeLimit = std::chrono::milliseconds(450);
+    Duration sharedJobsLimit = std::chrono::milliseconds(450);
     /// How late an announced heartbeat may be received: as late as at the short
     /// interval.
-    Duration lateness = std::chrono::milliseconds(310);
+    Duration maxHeartbeatDelay = std::chrono::milliseconds(310);
   };
 
-  SilenceWatch() = default;
-  explicit SilenceWatch(TimePoint now)
+  SilenceDetector() = default;
+  explicit SilenceDetector(TimePoint now)
     : m_lastReceivedAt(now)
   {
   }
 
-  void heard(TimePoint now) { m_lastReceivedAt = now; }
-  void promised(Duration nextWithin) { m_nextHeartbeatWithin = nextWithin; }
-  void setClose(bool isClose, TimePoint now)
+  void messageReceived(TimePoint now) { m_lastReceivedAt = now; }
+  void setNextHeartbeatWithin(Duration nextWithin)
+  {
+    m_nextHeartbeatWithin = nextWithin;
+  }
+  void setSharesJobs(bool isClose, TimePoint now)
   {
     if (isClose && !m_sharesJobs)
       m_sharesJobsSince = now;
     m_sharesJobs = isClose;
   }
 
-  bool isClose() const { return m_sharesJobs; }
+  bool sharesJobs() const { return m_sharesJobs; }
 
   bool isSilent(const Settings& settings, TimePoint now) const
   {
     if (m_sharesJobs)
       return now - std::max(m_lastReceivedAt, m_sharesJobsSince) >
-             settings.closeLimit;
+             settings.sharedJobsLimit;
     const Duration limit =
-      std::max(settings.closeLimit, m_nextHeartbeatWithin + settings.lateness);
+      std::max(settings.sharedJobsLimit,
+               m_nextHeartbeatWithin + settings.maxHeartbeatDelay);
     return now - m_lastReceivedAt > limit;
   }
 
--- a/src/libshards/memberview.h
+++ b/src/libshards/memberview.h
@@ -15,14 +15,14 @@
   /// The daemon is shutting down and releases its shards.
   bool isLeaving = false;
   /// The daemon gets too little processor time for its work.
-  bool isStrained = false;
+  bool isCpuStarved = false;
   /// How slow the daemon's machine is: the logarithm of the time that a fixed
   /// amount of work takes.
   int slowness = 0;
   /// How many workers the daemon can hold.
-  std::size_t carried = 1;
+  std::size_t workerCapacity = 1;
   /// The daemon had started shortly before the heartbeat.
-  bool isNew = false;
+  bool hasJustStarted = false;
   /// The daemon has a configuration and a list of workers.
   bool isReady = false;
   /// The shards that the daemon holds, each with the fencing token under which
@@ -32,9 +32,10 @@
   friend bool operator==(const MemberView& a, const MemberView& b)
   {
     return a.id == b.id && a.zone == b.zone && a.isLeaving == b.isLeaving &&
-           a.isStrained == b.isStrained && a.slowness == b.slowness &&
-           a.carried == b.carried && a.isNew == b.isNew &&
-           a.isReady == b.isReady && a.shards == b.shards;
+           a.isCpuStarved == b.isCpuStarved && a.slowness == b.slowness &&
+           a.workerCapacity == b.workerCapacity &&
+           a.hasJustStarted == b.hasJustStarted && a.isReady == b.isReady &&
+           a.shards == b.shards;
   }
   friend bool operator!=(const MemberView& a, const MemberView& b)
   {
--- a/src/libshards/shardtable.cpp
+++ b/src/libshards/shardtable.cpp
@@ -29,22 +29,23 @@
 
 /// Number of shards relative to the number of workers that a daemon can hold.
 double
-load(std::size_t shards, std::size_t carried)
+load(std::size_t shards, std::size_t workerCapacity)
 {
-  return double(shards) / double(carried);
+  return double(shards) / double(workerCapacity);
 }
 
 Rank
 rank(const ShardId& shard,
      const VmId& vm,
-     bool isStrained,
+     bool isCpuStarved,
      std::size_t shards,
-     std::size_t carried,
+     std::size_t workerCapacity,
      int slowness)
 {
-  return {
-    isStrained, load(shards + 1, carried), slowness, orderHash(shard, vm)
-  };
+  return { isCpuStarved,
+           load(shards + 1, workerCapacity),
+           slowness,
+           orderHash(shard, vm) };
 }
 
 } // namespace
@@ -76,11 +77,12 @@
 }
 
 bool
-ShardTable::memberSeen(const MemberView& member, TimePoint now)
+ShardTable::updateMember(const MemberView& member, TimePoint now)
 {
   const MemberView* known = m_members.find(member.id);
-  const bool isChanged =
-    !known || known->carried != member.carried || known->zone != member.zone;
+  const bool isChanged = !known ||
+                         known->workerCapacity != member.workerCapacity ||
+                         known->zone != member.zone;
   m_members.put(member);
   for (const auto& [shard, token] : member.shards)
     m_lastTokens[shard] = token;
@@ -90,7 +92,7 @@
 }
 
 void
-ShardTable::memberGone(const VmId& id, TimePoint now)
+ShardTable::removeMember(const VmId& id, TimePoint now)
 {
   const MemberView* member = m_members.find(id);
   if (!member)
@@ -103,27 +105,27 @@
 }
 
 void
-ShardTable::platformBeat(const ShardId& shard,
-                         const VmId& holder,
-                         TimePoint now)
+ShardTable::setPlatformHeartbeat(const ShardId& shard,
+                                 const VmId& holder,
+                                 TimePoint now)
 {
   m_platformHeartbeats[shard] = { holder, now };
 }
 
 void
-ShardTable::lastHolderRead(const ShardId& shard, const VmId& holder)
+ShardTable::setLastHolder(const ShardId& shard, const VmId& holder)
 {
   m_lastHolders[shard] = holder;
 }
 
 void
-ShardTable::fenced(const ShardId& shard, TimePoint now)
+ShardTable::workerFenced(const ShardId& shard, TimePoint now)
 {
   m_fencedAt[shard] = now;
 }
 
 bool
-ShardTable::needsPlatformReads() const
+ShardTable::needsPlatformHeartbeats() const
 {
   return isIsolated() ||
          std::any_of(m_shards.begin(), m_shards.end(), [&](const auto& shard) {
@@ -133,7 +135,7 @@
 }
 
 std::map<ShardId, std::uint64_t>
-ShardTable::orphans(TimePoint now) const
+ShardTable::shardsToProbe(TimePoint now) const
 {
   std::map<ShardId, std::uint64_t> orphans;
   if (!m_isReady || m_isLeaving || !hasWaitedForOthers(now))
@@ -151,7 +153,7 @@
 }
 
 void
-ShardTable::setVacant(const ShardId& shard, TimePoint now)
+ShardTable::setUnused(const ShardId& shard, TimePoint now)
 {
   m_vacantAt[shard] = now;
 }
@@ -182,7 +184,7 @@
 bool
 ShardTable::takesOneAtATime(TimePoint now) const
 {
-  return isNew(now) && !hasHeardAll();
+  return hasJustStarted(now) && !hasHeardAll();
 }
 
 bool
@@ -193,7 +195,7 @@
 }
 
 void
-ShardTable::taken(const ShardId& shard, std::uint64_t token, TimePoint now)
+ShardTable::shardTaken(const ShardId& shard, std::uint64_t token, TimePoint now)
 {
   m_lastTakenAt = now;
   m_held[shard] = token;
@@ -201,7 +203,7 @@
 }
 
 void
-ShardTable::released(const ShardId& shard, TimePoint now)
+ShardTable::shardReleased(const ShardId& shard, TimePoint now)
 {
   m_held.erase(shard);
   m_fencedAt.erase(shard);
@@ -209,7 +211,7 @@
 }
 
 void
-ShardTable::dissolved(const ShardId& shard)
+ShardTable::shardRemoved(const ShardId& shard)
 {
   m_held.erase(shard);
   m_fencedAt.erase(shard);
@@ -262,13 +264,13 @@
 }
 
 std::map<ZoneName, std::size_t>
-ShardTable::weakestCarried() const
+ShardTable::smallestWorkerCapacities() const
 {
-  std::map<ZoneName, std::size_t> weakest = { { m_zone, m_carried } };
+  std::map<ZoneName, std::size_t> weakest = { { m_zone, m_workerCapacity } };
   for (const auto& [vm, member] : m_members.all()) {
-    std::size_t& carried =
-      weakest.try_emplace(member.zone, member.carried).first->second;
-    carried = std::min(carried, member.carried);
+    std::size_t& workerCapacity =
+      weakest.try_emplace(member.zone, member.workerCapacity).first->second;
+    workerCapacity = std::min(workerCapacity, member.workerCapacity);
   }
   return weakest;
 }
@@ -300,7 +302,7 @@
 bool
 ShardTable::isKnownFree(const ShardId& shard, TimePoint now) const
 {
-  if (!isNew(now) || now - m_start < m_settings.connectWait)
+  if (!hasJustStarted(now) || now - m_start < m_settings.connectWait)
     return false;
   if (haveAllJustStarted())
     return true;
@@ -313,9 +315,10 @@
 ShardTable::haveAllJustStarted() const
 {
   return !m_members.all().empty() &&
-         std::all_of(m_members.all().begin(),
-                     m_members.all().end(),
-                     [](const auto& item) { return item.second.isNew; });
+         std::all_of(
+           m_members.all().begin(),
+           m_members.all().end(),
+           [](const auto& item) { return item.second.hasJustStarted; });
 }
 
 bool
@@ -346,10 +349,10 @@
 bool
 ShardTable::yieldsTo(const MemberView& member, const ShardId& shard) const
 {
-  if (member.isStrained != m_isStrained)
-    return m_isStrained;
-  const double own = load(m_held.size(), m_carried);
-  const double theirs = load(member.shards.size(), member.carried);
+  if (member.isCpuStarved != m_isCpuStarved)
+    return m_isCpuStarved;
+  const double own = load(m_held.size(), m_workerCapacity);
+  const double theirs = load(member.shards.size(), member.workerCapacity);
   if (own != theirs)
     return own > theirs;
   return member.shards.at(shard) > m_held.at(shard);
@@ -404,8 +407,8 @@
                             std::size_t ownShards,
                             bool isForeign) const
 {
-  const Rank own =
-    rank(shard, m_self, m_isStrained, ownShards, m_carried, m_slowness);
+  const Rank own = rank(
+    shard, m_self, m_isCpuStarved, ownShards, m_workerCapacity, m_slowness);
   return std::none_of(
     m_members.all().begin(), m_members.all().end(), [&](const auto& item) {
       const MemberView& member = item.second;
@@ -413,9 +416,9 @@
                                (isForeign || member.zone == shard.zone());
       return isCandidate && rank(shard,
                                  member.id,
-                                 member.isStrained,
+                                 member.isCpuStarved,
                                  member.shards.size(),
-                                 member.carried,
+                                 member.workerCapacity,
                                  member.slowness) < own;
     });
 }
@@ -428,7 +431,7 @@
                          std::size_t ownShards,
                          TimePoint now) const
 {
-  const bool mayRebalance = !isNew(now) && !m_isStrained &&
+  const bool mayRebalance = !hasJustStarted(now) && !m_isCpuStarved &&
                             m_zone == shard.zone() &&
                             ownShards == m_held.size() &&
                             now - m_lastTakenAt >= m_settings.rebalanceInterval;
@@ -436,7 +439,7 @@
   return std::any_of(claimants.begin(), claimants.end(), [&](const auto& item) {
     const MemberView& member = *item.second;
     const bool givesWay = member.isLeaving ||
-                          (member.isStrained && !m_isStrained) ||
+                          (member.isCpuStarved && !m_isCpuStarved) ||
                           (mayRebalance && hasHigherLoad(member, ownShards));
     return !givesWay && member.zone == shard.zone();
   });
@@ -447,8 +450,8 @@
 bool
 ShardTable::hasHigherLoad(const MemberView& member, std::size_t ownShards) const
 {
-  return load(member.shards.size() - 1, member.carried) >=
-         load(ownShards + 1, m_carried);
+  return load(member.shards.size() - 1, member.workerCapacity) >=
+         load(ownShards + 1, m_workerCapacity);
 }
 
 /// Whether all remaining daemons of the shard's zone are leaving and no daemon
--- a/src/libshards/shardtable.h
+++ b/src/libshards/shardtable.h
@@ -87,54 +87,59 @@
   /// Sets the shards into which the workers are divided.
   void setShards(const std::set<ShardId>& shards);
   /// Sets how many other daemons exist, whether or not they can be reached.
-  void setKnownMembers(std::size_t count) { m_knownMembers = count; }
+  void setKnownMemberCount(std::size_t count) { m_knownMembers = count; }
   /// Processes the heartbeat of a member. Returns whether the member is new or
   /// has changed its zone or the number of workers that it can hold.
-  bool memberSeen(const MemberView& member, TimePoint now);
+  bool updateMember(const MemberView& member, TimePoint now);
   /// Records that a member can no longer be reached.
-  void memberGone(const VmId& id, TimePoint now);
+  void removeMember(const VmId& id, TimePoint now);
   /// Records a holder's heartbeat that was read at the platform.
-  void platformBeat(const ShardId& shard, const VmId& holder, TimePoint now);
+  void setPlatformHeartbeat(const ShardId& shard,
+                            const VmId& holder,
+                            TimePoint now);
   /// Records the last holder of a shard according to the platform, however old
   /// that entry is.
-  void lastHolderRead(const ShardId& shard, const VmId& holder);
+  void setLastHolder(const ShardId& shard, const VmId& holder);
   /// Records that the holders' heartbeats at the platform were read.
-  void platformRead(TimePoint now) { m_platformReadAt = now; }
+  void platformHeartbeatsRead(TimePoint now) { m_platformReadAt = now; }
   /// Whether the holders' heartbeats at the platform should be read often.
-  bool needsPlatformReads() const;
+  bool needsPlatformHeartbeats() const;
   /// Sets whether this daemon has a configuration and a list of workers.
   void setReady(bool isReady) { m_isReady = isReady; }
   /// Records that this daemon is shutting down. It takes no shards any more.
   void setLeaving() { m_isLeaving = true; }
   /// Sets whether this daemon gets too little processor time for its work.
-  void setStrained(bool isStrained) { m_isStrained = isStrained; }
+  void setCpuStarved(bool isCpuStarved) { m_isCpuStarved = isCpuStarved; }
   /// Sets how slow this machine is: the logarithm of the time that a fixed
   /// amount of work takes.
   void setSlowness(int slowness) { m_slowness = slowness; }
   /// Sets how many workers this daemon can hold.
-  void setCarried(std::size_t carried) { m_carried = carried; }
+  void setWorkerCapacity(std::size_t workerCapacity)
+  {
+    m_workerCapacity = workerCapacity;
+  }
   /// For each zone, the lowest number of workers that any reachable daemon of
   /// the zone, this daemon included, can hold.
-  std::map<ZoneName, std::size_t> weakestCarried() const;
+  std::map<ZoneName, std::size_t> smallestWorkerCapacities() const;
   /// Shards of zones without a reachable daemon whose workers this daemon has
   /// to ask whether any daemon uses them. Each comes with the fencing token
   /// that its last holder reported.
-  std::map<ShardId, std::uint64_t> orphans(TimePoint now) const;
+  std::map<ShardId, std::uint64_t> shardsToProbe(TimePoint now) const;
   /// Records that no daemon uses the shard's workers, as they have reported.
-  void setVacant(const ShardId& shard, TimePoint now);
+  void setUnused(const ShardId& shard, TimePoint now);
   /// Records that another daemon has claimed a worker of a shard that this
   /// daemon holds.
-  void fenced(const ShardId& shard, TimePoint now);
+  void workerFenced(const ShardId& shard, TimePoint now);
 
   /// The shards that this daemon has to take and to release now. The caller
-  /// carries the decisions out and calls `taken` and `released`.
+  /// carries the decisions out and calls `shardTaken` and `shardReleased`.
   Decisions decide(TimePoint now) const;
-  void taken(const ShardId& shard, std::uint64_t token, TimePoint now);
+  void shardTaken(const ShardId& shard, std::uint64_t token, TimePoint now);
   /// Removes a held shard, which isn't taken again for `retakeDelay`.
-  void released(const ShardId& shard, TimePoint now);
+  void shardReleased(const ShardId& shard, TimePoint now);
   /// Removes a held shard because the workers are divided into other shards.
   /// Unlike a released shard, it may be taken again at once.
-  void dissolved(const ShardId& shard);
+  void shardRemoved(const ShardId& shard);
 
   /// The holder of a shard, possibly this daemon, as far as can be seen.
   std::optional<VmId> holder(const ShardId& shard) const;
@@ -144,7 +149,7 @@
   std::set<ShardId> servedShards() const;
   /// All reachable daemons that hold a shard, this daemon included.
   std::set<VmId> holders() const;
-  const std::map<ShardId, std::uint64_t>& held() const { return m_held; }
+  const std::map<ShardId, std::uint64_t>& heldShards() const { return m_held; }
   const std::set<ShardId>& shards() const { return m_shards; }
   /// Whether other daemons are heard and all of them are new. A live daemon
   /// that had started earlier would be heard as well.
@@ -154,7 +159,7 @@
   /// Whether no other daemon can be reached although others exist.
   bool isIsolated() const;
   /// Whether this daemon started less than `newDaemonAge` ago.
-  bool isNew(TimePoint now) const
+  bool hasJustStarted(TimePoint now) const
   {
     return now - m_start < m_settings.newDaemonAge;
   }
@@ -208,9 +213,9 @@
   std::optional<TimePoint> m_platformReadAt;
   bool m_isReady = false;
   bool m_isLeaving = false;
-  bool m_isStrained = false;
+  bool m_isCpuStarved = false;
   int m_slowness = 0;
-  std::size_t m_carried = 1;
+  std::size_t m_workerCapacity = 1;
 };
 
 } // namespace cowslippin
--- a/src/libworkers/answertimes.cpp
+++ b/src/libworkers/answertimes.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 void
-AnswerTimes::addAnswerTime(Duration time)
+OrderTimeouts::addAnswerTime(Duration time)
 {
   const auto value = double(time.count());
   if (m_answers == 0) {
@@ -29,14 +29,14 @@
 }
 
 void
-AnswerTimes::addUnanswered(TimePoint now)
+OrderTimeouts::addUnanswered(TimePoint now)
 {
   m_losses = losses(now) + 1;
   m_lossAt = now;
 }
 
 Duration
-AnswerTimes::answerTimeout() const
+OrderTimeouts::answerTimeout() const
 {
   if (m_answers < m_settings.minAnswers)
     return m_settings.maxAnswerTimeout;
@@ -47,14 +47,14 @@
 }
 
 Duration
-AnswerTimes::reportWait(TimePoint now) const
+OrderTimeouts::reportWait(TimePoint now) const
 {
   return losses(now) >= m_settings.lossThreshold ? m_settings.shortReportWait
                                                  : m_settings.reportWait;
 }
 
 double
-AnswerTimes::losses(TimePoint now) const
+OrderTimeouts::losses(TimePoint now) const
 {
   const double age = double((now - m_lossAt).count());
   return m_losses *
--- a/src/libworkers/answertimes.h
+++ b/src/libworkers/answertimes.h
@@ -15,7 +15,7 @@
 /// give up orders that are still in transit. While orders are being lost,
 /// reports are requested with a shorter wait, so that a lost report is replaced
 /// sooner; otherwise a short wait would only cost messages.
-class AnswerTimes
+class OrderTimeouts
 {
 public:
   struct Settings
@@ -42,7 +42,7 @@
     Duration lossTimeConstant = std::chrono::seconds(1);
   };
 
-  explicit AnswerTimes(Settings settings)
+  explicit OrderTimeouts(Settings settings)
     : m_settings(settings)
   {
   }
--- a/src/libworkers/holdreport.h
+++ b/src/libworkers/holdreport.h
@@ -16,7 +16,7 @@
   /// A stop order ended the run.
   Stopped,
   /// The lease expired.
-  Lapsed,
+  Expired,
   /// Another member of the run's gang ended or never started.
   GangBroken,
   /// The worker is gone or never started the run.
@@ -33,7 +33,7 @@
       return "failed";
     case RunEnd::Stopped:
       return "stopped";
-    case RunEnd::Lapsed:
+    case RunEnd::Expired:
       return "lapsed";
     case RunEnd::GangBroken:
       return "gang-broken";
@@ -55,15 +55,15 @@
 struct EndedRun
 {
   /// Sequence number of the end in the worker's current incarnation, from 1.
-  std::uint64_t number = 0;
+  std::uint64_t sequence = 0;
   RunKey key;
   RunEnd end = RunEnd::Lost;
 };
 
 /// State of a worker as reported to its lease holder.
-struct HoldReport
+struct WorkerReport
 {
-  WorkerBirth birth;
+  WorkerBootTime bootTime;
   /// The worker's own clock when it made the report, in milliseconds. It may
   /// restart with each incarnation.
   std::int64_t clockMs = 0;
--- a/src/libworkers/leasenote.h
+++ b/src/libworkers/leasenote.h
@@ -10,7 +10,7 @@
 namespace cowslippin {
 
 /// An orphaned run that nobody asked for is being stopped.
-struct StrayStopped
+struct OrphanStopped
 {
   RunKey key;
   Duration age;
@@ -21,16 +21,16 @@
 {
   RunKey key;
   OrderFailure failure;
-  unsigned sent;
-  Duration sinceFirst;
-  Duration sinceLast;
+  unsigned attempts;
+  Duration sinceFirstAttempt;
+  Duration sinceLastAttempt;
 };
 
 /// A renewal of the worker's lease extended a run that is to end.
-struct UnwantedRenewal
+struct EndingRunRenewed
 {
   RunKey key;
-  bool isStray;
+  bool isOrphaned;
   /// Time since the stop was first sent or, for an orphaned run, since the run
   /// was found.
   Duration age;
@@ -38,12 +38,12 @@
 
 /// The lease of a silent worker has expired, so that all its runs count as
 /// ended.
-struct LeaseLapsed
+struct LeaseExpired
 {
   std::vector<RunKey> runs;
   /// Zero if the worker's current incarnation has not reported.
-  Duration sinceReport;
-  Duration sinceLapse;
+  Duration sinceLastReport;
+  Duration sinceExpiry;
 };
 
 } // namespace cowslippin
--- a/src/libworkers/lifetracker.h
+++ b/src/libworkers/lifetracker.h
@@ -28,7 +28,7 @@
 class IncarnationTracker
 {
 public:
-  IncarnationTracker(WorkerBirth birth, TimePoint now);
+  IncarnationTracker(WorkerBootTime bootTime, TimePoint now);
 
   /// Whether the worker reports its boot time. Only such a worker keeps its id
   /// when it restarts.
@@ -36,20 +36,21 @@
 
   /// Classifies an entry of the platform's worker list. If the entry is of the
   /// next incarnation, that becomes the current one.
-  WorkerIncarnation observeListEntry(const WorkerBirth& birth, TimePoint now);
+  WorkerIncarnation observeListEntry(const WorkerBootTime& bootTime,
+                                     TimePoint now);
   /// Classifies the answer to an order sent at `sent`, and does the same.
-  WorkerIncarnation observeAnswer(const WorkerBirth& birth,
+  WorkerIncarnation observeAnswer(const WorkerBootTime& bootTime,
                                   TimePoint sent,
                                   TimePoint now);
 
 private:
-  bool matchesCurrent(const WorkerBirth& birth, TimePoint now);
-  void begin(const WorkerBirth& birth, TimePoint now);
+  bool matchesCurrent(const WorkerBootTime& bootTime, TimePoint now);
+  void begin(const WorkerBootTime& bootTime, TimePoint now);
 
-  WorkerBirth m_current;
+  WorkerBootTime m_current;
   TimePoint m_knownSince;
   /// Boot times of incarnations that have ended.
-  std::set<WorkerBirth> m_ended;
+  std::set<WorkerBootTime> m_ended;
 };
 
 } // namespace cowslippin
--- a/src/libworkers/resources.h
+++ b/src/libworkers/resources.h
@@ -55,7 +55,7 @@
   }
 
   /// The component-wise maximum.
-  friend Resources largerOf(const Resources& a, const Resources& b)
+  friend Resources componentwiseMax(const Resources& a, const Resources& b)
   {
     return { std::max(a.m_cpuMillis, b.m_cpuMillis),
              std::max(a.m_memoryMb, b.m_memoryMb),
--- a/src/libworkers/unansweredstarts.h
+++ b/src/libworkers/unansweredstarts.h
@@ -11,15 +11,15 @@
 
 namespace cowslippin {
 
-/// A start that the worker may still carry out before `until`.
+/// A start that the worker may still carry out before `expiresAt`.
 struct UnansweredStart
 {
   RunKey key;
-  TimePoint until{};
+  TimePoint expiresAt{};
 
   friend bool operator==(const UnansweredStart& a, const UnansweredStart& b)
   {
-    return a.key == b.key && a.until == b.until;
+    return a.key == b.key && a.expiresAt == b.expiresAt;
   }
   friend bool operator!=(const UnansweredStart& a, const UnansweredStart& b)
   {
--- a/src/libworkers/workerhealth.cpp
+++ b/src/libworkers/workerhealth.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 void
-WorkerHealth::ended(RunEnd end, double slowness, TimePoint now)
+WorkerHealth::runEnded(RunEnd end, double slowness, TimePoint now)
 {
   if (end != RunEnd::Done && end != RunEnd::Failed)
     return;
@@ -35,7 +35,7 @@
 }
 
 void
-WorkerHealth::stalled(TimePoint now)
+WorkerHealth::runStalled(TimePoint now)
 {
   exclude(now);
 }
@@ -43,7 +43,7 @@
 bool
 WorkerHealth::isUsable(std::size_t runs, TimePoint now) const
 {
-  if (isKeptOff(now))
+  if (isExcluded(now))
     return false;
   return !m_isOnProbation || runs == 0;
 }
@@ -51,7 +51,7 @@
 void
 WorkerHealth::exclude(TimePoint now)
 {
-  if (isKeptOff(now))
+  if (isExcluded(now))
     return;
   m_exclusion = m_exclusion == Duration::zero()
                   ? m_settings.firstExclusion
--- a/src/libworkers/workerhealth.h
+++ b/src/libworkers/workerhealth.h
@@ -35,11 +35,11 @@
 
   /// Records the end of a run. `slowness` is the run time divided by the usual
   /// time of such a task, 0 if that isn't known.
-  void ended(RunEnd end, double slowness, TimePoint now);
+  void runEnded(RunEnd end, double slowness, TimePoint now);
 
   /// Records that a run makes no progress or was started in vain, and excludes
   /// the worker.
-  void stalled(TimePoint now);
+  void runStalled(TimePoint now);
 
   /// Whether the worker may be given a task while it has this many runs.
   bool isUsable(std::size_t runs, TimePoint now) const;
@@ -47,7 +47,7 @@
   /// Moving average of run time divided by usual run time.
   double slowness() const { return m_slowness; }
   double failureShare() const { return m_failureShare; }
-  bool isKeptOff(TimePoint now) const { return now < m_excludedUntil; }
+  bool isExcluded(TimePoint now) const { return now < m_excludedUntil; }
 
 private:
   void exclude(TimePoint now);
--- a/src/libworkers/workerlease.cpp
+++ b/src/libworkers/workerlease.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 bool
-isFromOtherIncarnation(const HoldAnswer& answer)
+isFromOtherIncarnation(const LeaseOrderAnswer& answer)
 {
   const auto* failure = std::get_if<OrderFailure>(&answer);
-  return failure != nullptr && *failure == OrderFailure::OtherLife;
+  return failure != nullptr && *failure == OrderFailure::OtherIncarnation;
 }
 
 } // namespace
@@ -41,13 +41,13 @@
 WorkerLease::WorkerLease(WorkerRecord record,
                          Settings settings,
                          Hooks hooks,
-                         std::shared_ptr<AnswerTimes> times,
+                         std::shared_ptr<OrderTimeouts> times,
                          TimePoint now)
   : m_record(std::move(record))
   , m_settings(settings)
   , m_hooks(std::move(hooks))
   , m_answerTimes(std::move(times))
-  , m_incarnations(m_record.birth(), now)
+  , m_incarnations(m_record.bootTime(), now)
 {
 }
 
@@ -55,7 +55,7 @@
 WorkerLease::setRecord(const WorkerRecord& record, TimePoint now)
 {
   const WorkerIncarnation incarnation =
-    m_incarnations.observeListEntry(record.birth(), now);
+    m_incarnations.observeListEntry(record.bootTime(), now);
   if (incarnation == WorkerIncarnation::Earlier)
     return;
   m_record = record;
@@ -74,7 +74,7 @@
   m_reportRequestsInFlight = 0;
   setState(LeaseState::Claiming);
   m_nextReportRequestAt = now;
-  sendHold(Duration::zero(), now);
+  sendLeaseOrder(Duration::zero(), now);
 }
 
 void
@@ -107,7 +107,7 @@
     m_unansweredStarts.add(key, run.resources, now + m_settings.maxOrderDelay);
   m_hooks.sendStart(order, m_answerTimes->answerTimeout());
   if (mayOvercommitNextIncarnation())
-    refresh(now);
+    requestReport(now);
 }
 
 void
@@ -121,7 +121,7 @@
 }
 
 std::optional<RunKey>
-WorkerLease::adopt(const std::string& task, const Resources& resources)
+WorkerLease::adoptOrphan(const std::string& task, const Resources& resources)
 {
   for (auto& [key, run] : m_runs) {
     if (!run.isOrphaned || run.state == RunState::Stopping ||
@@ -137,9 +137,9 @@
 }
 
 void
-WorkerLease::holdAnswered(const SentHold& sent,
-                          const HoldAnswer& answer,
-                          TimePoint now)
+WorkerLease::leaseOrderAnswered(const SentLeaseOrder& sent,
+                                const LeaseOrderAnswer& answer,
+                                TimePoint now)
 {
   if (sent.token != m_token && !isFromOtherIncarnation(answer))
     return;
@@ -149,7 +149,7 @@
     reportRequestFailed(*failure, now);
     return;
   }
-  applyReport(std::get<HoldReport>(answer), sent.at, now);
+  applyReport(std::get<WorkerReport>(answer), sent.sentAt, now);
 }
 
 void
@@ -183,7 +183,7 @@
     return;
   if (canResend(key)) {
     run.isResendDue = true;
-    refresh(now);
+    requestReport(now);
   } else {
     stop(key, now);
   }
@@ -228,7 +228,7 @@
     run.state = RunState::Stopping;
     run.stopSentAt = now;
     run.stopAnsweredAt = now;
-    refresh(now);
+    requestReport(now);
   } else if (run.startsSent > 1 && !isFenced) {
     stop(found->first, now);
   } else if (!run.isOrphaned) {
@@ -261,14 +261,14 @@
   run.stopAnsweredAt = now;
   // The report tells at once whether the run has ended, so that its task can
   // start elsewhere.
-  refresh(now);
+  requestReport(now);
 }
 
 void
-WorkerLease::refresh(TimePoint now)
+WorkerLease::requestReport(TimePoint now)
 {
   if (m_state == LeaseState::Held && m_reportRequestsInFlight <= 1)
-    sendHold(Duration::zero(), now);
+    sendLeaseOrder(Duration::zero(), now);
 }
 
 void
@@ -282,11 +282,11 @@
     expireLease(now);
   tickRuns(now);
   if (m_reportRequestsInFlight == 0 && now >= m_nextReportRequestAt) {
-    sendHold(Duration::zero(), now);
+    sendLeaseOrder(Duration::zero(), now);
   } else if (mayOvercommitNextIncarnation()) {
     // A report request that waits for a run to end gets no answer if the worker
     // restarts, which would delay the claim that fences late starts.
-    refresh(now);
+    requestReport(now);
   }
 }
 
@@ -295,7 +295,7 @@
 {
   return m_state == LeaseState::Held && m_unansweredReports == 0 &&
          m_orphanCount == 0 && !m_record.isDraining() &&
-         resources.fitsIn(freeRoom());
+         resources.fitsIn(freeCapacity());
 }
 
 bool
@@ -351,7 +351,7 @@
 }
 
 Resources
-WorkerLease::freeRoom() const
+WorkerLease::freeCapacity() const
 {
   if (m_state != LeaseState::Held || m_orphanCount > 0)
     return {};
@@ -369,7 +369,7 @@
 WorkerLease::runsExpireBy() const
 {
   const auto clockError = std::chrono::duration_cast<Duration>(
-    m_settings.leaseTime * (m_settings.slowestClock - 1));
+    m_settings.leaseDuration * (m_settings.maxClockDriftFactor - 1));
   return std::max(m_leasedUntil + clockError + m_settings.expiryMargin,
                   m_earlierOrdersUntil);
 }
@@ -384,12 +384,12 @@
 }
 
 void
-WorkerLease::sendHold(Duration wait, TimePoint now)
+WorkerLease::sendLeaseOrder(Duration wait, TimePoint now)
 {
-  HoldOrder order;
+  LeaseOrder order;
   order.token = m_token;
-  order.acknowledged = m_acknowledged;
-  order.wait = wait;
+  order.acknowledgedEnd = m_acknowledged;
+  order.maxWait = wait;
   // A claim renews no lease: nobody may want the runs that are on the worker.
   if (m_state == LeaseState::Held && !m_runs.empty()) {
     const TimePoint end = leaseEnd(now);
@@ -397,7 +397,7 @@
       order.deadlineMs = deadline(end);
   }
   ++m_reportRequestsInFlight;
-  m_hooks.sendHold(order, wait + m_answerTimes->answerTimeout());
+  m_hooks.sendLeaseOrder(order, wait + m_answerTimes->answerTimeout());
   if (order.deadlineMs)
     reportUnwantedRenewals(now);
 }
@@ -418,7 +418,7 @@
     setState(LeaseState::Fenced);
     return;
   }
-  if (failure == OrderFailure::OtherLife) {
+  if (failure == OrderFailure::OtherIncarnation) {
     setState(LeaseState::Ended);
     endAllAsLost();
     return;
@@ -441,12 +441,12 @@
 }
 
 void
-WorkerLease::applyReport(const HoldReport& report,
+WorkerLease::applyReport(const WorkerReport& report,
                          TimePoint sent,
                          TimePoint now)
 {
   const WorkerIncarnation incarnation =
-    m_incarnations.observeAnswer(report.birth, sent, now);
+    m_incarnations.observeAnswer(report.bootTime, sent, now);
   if (incarnation == WorkerIncarnation::Next) {
     beginNextIncarnation(now);
     return;
@@ -479,11 +479,11 @@
 WorkerLease::boundEarlierOrders(TimePoint now)
 {
   const auto lease = std::chrono::duration_cast<Duration>(
-    m_settings.maxGrantedLease * m_settings.slowestClock);
+    m_settings.maxGrantedLease * m_settings.maxClockDriftFactor);
   m_earlierOrdersUntil =
     std::min(m_earlierOrdersUntil, now + lease + m_settings.expiryMargin);
   // The previous holder may have renewed the lease just now.
-  m_leasedUntil = std::max(m_leasedUntil, now + m_settings.leaseTime);
+  m_leasedUntil = std::max(m_leasedUntil, now + m_settings.leaseDuration);
 }
 
 /// Ends all runs that the earlier incarnation has listed, and drops its clock
@@ -515,7 +515,7 @@
 /// Whether a newer report arrived before this one. Answers may overtake each
 /// other, and the older report lists runs whose end is already known.
 bool
-WorkerLease::isOutdated(const HoldReport& report, TimePoint sent) const
+WorkerLease::isOutdated(const WorkerReport& report, TimePoint sent) const
 {
   return report.clockMs < m_reportClockMs ||
          (report.clockMs == m_reportClockMs && sent < m_reportAt);
@@ -527,27 +527,27 @@
 {
   m_nextReportRequestAt = now;
   if (m_reportRequestsInFlight == 0)
-    sendHold(m_answerTimes->reportWait(now), now);
+    sendLeaseOrder(m_answerTimes->reportWait(now), now);
 }
 
 void
-WorkerLease::applyEndedRuns(const HoldReport& report)
+WorkerLease::applyEndedRuns(const WorkerReport& report)
 {
   for (const EndedRun& ended : report.ended) {
     m_unansweredStarts.runReported(ended.key);
-    if (ended.number <= m_acknowledged)
+    if (ended.sequence <= m_acknowledged)
       continue;
-    m_acknowledged = ended.number;
+    m_acknowledged = ended.sequence;
     const auto found = m_runs.find(ended.key);
     if (found != m_runs.end())
       endRun(found, ended.end);
     else
-      m_hooks.strayEnded(ended.key, ended.end);
+      m_hooks.orphanEnded(ended.key, ended.end);
   }
 }
 
 void
-WorkerLease::applyActiveRuns(const HoldReport& report, TimePoint now)
+WorkerLease::applyActiveRuns(const WorkerReport& report, TimePoint now)
 {
   for (const ActiveRun& active : report.active) {
     m_unansweredStarts.runReported(active.key);
@@ -565,16 +565,16 @@
     if (run.state == RunState::Starting)
       run.state = RunState::Running;
     if (isNew)
-      m_hooks.strayFound(active.key);
+      m_hooks.orphanFound(active.key);
     else if (!run.isOrphaned)
-      m_hooks.runActive(active.key, active.percent);
+      m_hooks.runProgressed(active.key, active.percent);
   }
 }
 
 /// Ends the runs that the worker doesn't have and that can no longer begin
 /// there.
 void
-WorkerLease::endMissingRuns(const HoldReport& report, TimePoint sent)
+WorkerLease::endMissingRuns(const WorkerReport& report, TimePoint sent)
 {
   std::set<RunKey> present;
   for (const ActiveRun& active : report.active)
@@ -616,7 +616,7 @@
   m_runs.erase(found);
   if (isOrphaned) {
     --m_orphanCount;
-    m_hooks.strayEnded(key, end);
+    m_hooks.orphanEnded(key, end);
   } else {
     m_hooks.runEnded(key, end);
   }
@@ -639,7 +639,7 @@
   }
   m_usedCapacity = m_usedCapacity - found->second.resources;
   m_runs.erase(found);
-  m_hooks.startUnresolved(key, *until);
+  m_hooks.unresolvedStartFound(key, *until);
 }
 
 void
@@ -661,14 +661,14 @@
 void
 WorkerLease::expireLease(TimePoint now)
 {
-  LeaseLapsed note{ {}, Duration::zero(), now - runsExpireBy() };
+  LeaseExpired note{ {}, Duration::zero(), now - runsExpireBy() };
   if (m_reportAt != TimePoint())
-    note.sinceReport = now - m_reportAt;
+    note.sinceLastReport = now - m_reportAt;
   for (const auto& [key, run] : m_runs)
     note.runs.push_back(key);
-  m_hooks.lapsed(note);
+  m_hooks.expired(note);
   while (!m_runs.empty())
-    endMissingRun(m_runs.begin(), RunEnd::Lapsed);
+    endMissingRun(m_runs.begin(), RunEnd::Expired);
 }
 
 /// Reports, once per run, that a renewal extends a run that is to end. A
@@ -684,7 +684,7 @@
       continue;
     run.isRenewalReported = true;
     const TimePoint since = isStopLate ? run.firstStopAt : run.since;
-    m_hooks.unwantedRenewal({ key, run.isOrphaned, now - since });
+    m_hooks.endingRunRenewed({ key, run.isOrphaned, now - since });
   }
 }
 
@@ -695,7 +695,7 @@
     if (run.isOrphaned && run.state != RunState::Stopping &&
         now - run.since >= m_settings.orphanTimeout) {
       run.state = RunState::Stopping;
-      m_hooks.strayStopped({ key, now - run.since });
+      m_hooks.orphanStopped({ key, now - run.since });
       sendStop(key, run, now);
     }
     if (run.state == RunState::Stopping && !run.stopAnsweredAt &&
@@ -713,11 +713,11 @@
   m_wantedUntil = TimePoint::max();
   for (auto& [key, run] : m_runs) {
     const auto wanted =
-      run.isOrphaned ? std::nullopt : m_hooks.wantedUntil(key);
+      run.isOrphaned ? std::nullopt : m_hooks.runWantedUntil(key);
     run.wantedUntil = std::max(run.wantedUntil, wanted.value_or(TimePoint{}));
     m_wantedUntil = std::min(m_wantedUntil, run.wantedUntil);
   }
-  return std::min(now + m_settings.leaseTime, m_wantedUntil);
+  return std::min(now + m_settings.leaseDuration, m_wantedUntil);
 }
 
 std::int64_t
--- a/src/libworkers/workerlease.h
+++ b/src/libworkers/workerlease.h
@@ -56,9 +56,9 @@
 public:
   struct Settings
   {
-    /// How long runs continue without a renewal, unless `wantedUntil` ends the
-    /// lease sooner.
-    Duration leaseTime = std::chrono::milliseconds(750);
+    /// How long runs continue without a renewal, unless `Hooks::runWantedUntil`
+    /// ends the lease sooner.
+    Duration leaseDuration = std::chrono::milliseconds(750);
     /// Least remaining lease with which a run is started. With less, the worker
     /// would reject the start as late, or the run would expire before it is
     /// done.
@@ -74,7 +74,7 @@
     /// its task can ask for it.
     Duration orphanTimeout = std::chrono::milliseconds(200);
     /// Factor by which a worker's clock may be slower than this daemon's.
-    double slowestClock = 1.02;
+    double maxClockDriftFactor = 1.02;
     /// Added to the end of a lease before its runs count as ended.
     Duration expiryMargin = std::chrono::milliseconds(60);
     /// Longest lease that a worker grants, whatever deadline an order has.
@@ -91,9 +91,9 @@
   struct Hooks
   {
     /// These three send an order to the worker. The caller passes the answer,
-    /// or `OrderFailure::Unanswered` after the timeout, to `holdAnswered`,
-    /// `startAnswered` or `stopAnswered`.
-    std::function<void(const HoldOrder&, Duration timeout)> sendHold;
+    /// or `OrderFailure::Unanswered` after the timeout, to
+    /// `leaseOrderAnswered`, `startAnswered` or `stopAnswered`.
+    std::function<void(const LeaseOrder&, Duration timeout)> sendLeaseOrder;
     std::function<void(const StartOrder&, Duration timeout)> sendStart;
     std::function<void(const StopOrder&, Duration timeout)> sendStop;
     /// An own run has ended and its capacity is free.
@@ -102,7 +102,7 @@
     /// not answered. If the worker restarts under its id, the new incarnation
     /// may carry the start out before `until`, because it has no record of
     /// earlier fencing tokens and stops. Called instead of `runEnded`.
-    std::function<void(const RunKey&, TimePoint until)> startUnresolved;
+    std::function<void(const RunKey&, TimePoint until)> unresolvedStartFound;
     /// Whether an unanswered start is to be sent again instead of being
     /// stopped. All copies have the same run number, so that one incarnation of
     /// the worker runs only one of them at a time; a later incarnation may run
@@ -112,26 +112,26 @@
     /// the run is free.
     std::function<void(const RunKey&, OrderFailure)> startRejected;
     /// An own run is in progress, with this percentage of its work done.
-    std::function<void(const RunKey&, int percent)> runActive;
+    std::function<void(const RunKey&, int percent)> runProgressed;
     /// A report lists a run that isn't the lease's own.
-    std::function<void(const RunKey&)> strayFound;
+    std::function<void(const RunKey&)> orphanFound;
     /// A run that isn't the lease's own has ended.
-    std::function<void(const RunKey&, RunEnd)> strayEnded;
-    std::function<void(const StrayStopped&)> strayStopped;
+    std::function<void(const RunKey&, RunEnd)> orphanEnded;
+    std::function<void(const OrphanStopped&)> orphanStopped;
     std::function<void(const StopFailed&)> stopFailed;
-    std::function<void(const UnwantedRenewal&)> unwantedRenewal;
-    std::function<void(const LeaseLapsed&)> lapsed;
+    std::function<void(const EndingRunRenewed&)> endingRunRenewed;
+    std::function<void(const LeaseExpired&)> expired;
     std::function<void(LeaseState)> stateChanged;
     /// Until when a run is wanted, as far as is known now. Nothing if nobody
     /// wants the run any more; the time returned last then still applies.
-    std::function<std::optional<TimePoint>(const RunKey&)> wantedUntil;
+    std::function<std::optional<TimePoint>(const RunKey&)> runWantedUntil;
   };
 
   /// `times` may be shared with other leases; it must not be null.
   WorkerLease(WorkerRecord record,
               Settings settings,
               Hooks hooks,
-              std::shared_ptr<AnswerTimes> times,
+              std::shared_ptr<OrderTimeouts> times,
               TimePoint now);
 
   /// Claims the worker with a fencing token, also after it was fenced or has
@@ -150,20 +150,20 @@
 
   /// Requests a report that is answered at once, in addition to one that waits
   /// for a run to end. Does nothing while such a request is in flight.
-  void refresh(TimePoint now);
+  void requestReport(TimePoint now);
 
   /// Makes an orphaned run of this task the lease's own and returns its key, or
   /// nothing if there is none. While a worker has orphaned runs, its lease
-  /// isn't extended; after the adoption, `refresh` sends the next renewal at
-  /// once.
-  std::optional<RunKey> adopt(const std::string& task,
-                              const Resources& resources);
+  /// isn't extended; after the adoption, `requestReport` sends the next renewal
+  /// at once.
+  std::optional<RunKey> adoptOrphan(const std::string& task,
+                                    const Resources& resources);
 
   /// Answers to orders of an earlier claim are ignored: since then the worker
   /// may have received runs that only the answer to the new claim lists.
-  void holdAnswered(const SentHold& sent,
-                    const HoldAnswer& answer,
-                    TimePoint now);
+  void leaseOrderAnswered(const SentLeaseOrder& sent,
+                          const LeaseOrderAnswer& answer,
+                          TimePoint now);
   void startAnswered(const RunKey& key,
                      const OrderAnswer& answer,
                      TimePoint now);
@@ -186,14 +186,14 @@
   /// carried out. If there isn't room for all of them, or while starts of an
   /// earlier holder may still arrive, the start is safe only within
   /// `maxReportAge` after the arrival of a promptly answered report, for
-  /// example one requested by `refresh`. It isn't safe while another run keeps
-  /// the lease short. The conditions of `canStart` are not included.
+  /// example one requested by `requestReport`. It isn't safe while another run
+  /// keeps the lease short. The conditions of `canStart` are not included.
   bool isSafeToStart(const Resources& resources, TimePoint now) const;
   /// Whether a promptly answered report has arrived within `maxReportAge`.
   bool isReportFresh(TimePoint now) const;
   /// Until when a copy of this start may still be carried out; nothing if no
   /// copy can be.
-  std::optional<TimePoint> unansweredUntil(const RunKey& key) const
+  std::optional<TimePoint> unansweredStartExpiry(const RunKey& key) const
   {
     return m_unansweredStarts.expiry(key);
   }
@@ -204,9 +204,9 @@
     return m_unansweredStarts.all();
   }
   /// Capacity that no run counts against; zero while that isn't known.
-  Resources freeRoom() const;
+  Resources freeCapacity() const;
   bool isIdle() const { return m_runs.empty(); }
-  bool hasStrays() const { return m_orphanCount > 0; }
+  bool hasOrphans() const { return m_orphanCount > 0; }
   bool isRunning(const std::string& task) const;
 
   LeaseState state() const { return m_state; }
@@ -218,7 +218,7 @@
   TimePoint leasedUntil() const { return m_leasedUntil; }
   /// When the newest report was requested. The report lists everything that
   /// another daemon had started on the worker before that time.
-  TimePoint reportAskedAt() const { return m_reportAskedAt; }
+  TimePoint reportRequestedAt() const { return m_reportAskedAt; }
   /// Time by which every run has ended if the worker doesn't answer any more.
   TimePoint runsExpireBy() const;
 
@@ -258,7 +258,7 @@
     bool isOfEarlierIncarnation = false;
     TimePoint firstStopAt{};
     unsigned stopsSent = 0;
-    /// Whether `unwantedRenewal` was called for the run.
+    /// Whether `endingRunRenewed` was called for the run.
     bool isRenewalReported = false;
     /// When an answer or a report first showed that the worker has the run.
     std::optional<TimePoint> confirmedAt;
@@ -272,7 +272,7 @@
   using Runs = std::map<RunKey, Run>;
 
   void setState(LeaseState state);
-  void sendHold(Duration wait, TimePoint now);
+  void sendLeaseOrder(Duration wait, TimePoint now);
   void sendStart(const RunKey& key, Run& run, TimePoint now);
   void sendStop(const RunKey& key, Run& run, TimePoint now);
   void startRefused(Runs::iterator found, OrderFailure failure, TimePoint now);
@@ -281,12 +281,12 @@
   void reportRequestFailed(OrderFailure failure, TimePoint now);
   void beginNextIncarnation(TimePoint now);
   void boundEarlierOrders(TimePoint now);
-  bool isOutdated(const HoldReport& report, TimePoint sent) const;
+  bool isOutdated(const WorkerReport& report, TimePoint sent) const;
   void requestNextReport(TimePoint now);
-  void applyReport(const HoldReport& report, TimePoint sent, TimePoint now);
-  void applyEndedRuns(const HoldReport& report);
-  void applyActiveRuns(const HoldReport& report, TimePoint now);
-  void endMissingRuns(const HoldReport& report, TimePoint sent);
+  void applyReport(const WorkerReport& report, TimePoint sent, TimePoint now);
+  void applyEndedRuns(const WorkerReport& report);
+  void applyActiveRuns(const WorkerReport& report, TimePoint now);
+  void endMissingRuns(const WorkerReport& report, TimePoint sent);
   bool canNoLongerRun(const Run& run,
                       std::int64_t clockMs,
                       TimePoint sent) const;
@@ -306,7 +306,7 @@
   WorkerRecord m_record;
   const Settings m_settings;
   const Hooks m_hooks;
-  const std::shared_ptr<AnswerTimes> m_answerTimes;
+  const std::shared_ptr<OrderTimeouts> m_answerTimes;
   IncarnationTracker m_incarnations;
   LeaseState m_state = LeaseState::Claiming;
   FencingToken m_token = 0;
--- a/src/libworkers/workerorder.h
+++ b/src/libworkers/workerorder.h
@@ -16,23 +16,23 @@
 using FencingToken = std::uint64_t;
 
 /// Renews the lease of all runs on a worker and requests a report on them.
-struct HoldOrder
+struct LeaseOrder
 {
   FencingToken token = 0;
   /// All runs end at this time of the worker's clock unless the lease is
   /// renewed. Without a deadline the lease stays as it is.
   std::optional<std::int64_t> deadlineMs;
   /// Ends up to this sequence number need not be reported again.
-  std::uint64_t acknowledged = 0;
+  std::uint64_t acknowledgedEnd = 0;
   /// How long the worker may wait for a run to end before it answers.
-  Duration wait = Duration::zero();
+  Duration maxWait = Duration::zero();
 };
 
 /// Identifies the hold order that a worker's answer belongs to.
-struct SentHold
+struct SentLeaseOrder
 {
   FencingToken token = 0;
-  TimePoint at{};
+  TimePoint sentAt{};
 };
 
 struct StartOrder
@@ -69,7 +69,7 @@
   Unhealthy,
   /// Another incarnation of the worker, or another worker, answers at this
   /// address.
-  OtherLife,
+  OtherIncarnation,
   /// The worker rejects the order as invalid.
   Invalid,
 };
@@ -92,7 +92,7 @@
       return "no-room";
     case OrderFailure::Unhealthy:
       return "unhealthy";
-    case OrderFailure::OtherLife:
+    case OrderFailure::OtherIncarnation:
       return "other-life";
     case OrderFailure::Invalid:
       return "invalid";
@@ -100,7 +100,7 @@
   return "unknown";
 }
 
-using HoldAnswer = std::variant<HoldReport, OrderFailure>;
+using LeaseOrderAnswer = std::variant<WorkerReport, OrderFailure>;
 
 /// Empty if a start or a stop was carried out.
 using OrderAnswer = std::optional<OrderFailure>;
--- a/src/libworkers/workerrecord.h
+++ b/src/libworkers/workerrecord.h
@@ -19,7 +19,7 @@
   struct Fields
   {
     WorkerId id;
-    WorkerBirth birth;
+    WorkerBootTime bootTime;
     ServiceName service;
     Address address;
     ZoneName zone;
@@ -37,7 +37,7 @@
   }
 
   const WorkerId& id() const { return m_fields.id; }
-  const WorkerBirth& birth() const { return m_fields.birth; }
+  const WorkerBootTime& bootTime() const { return m_fields.bootTime; }
   const ServiceName& service() const { return m_fields.service; }
   const Address& address() const { return m_fields.address; }
   const ZoneName& zone() const { return m_fields.zone; }
@@ -51,7 +51,7 @@
 
   friend bool operator==(const WorkerRecord& a, const WorkerRecord& b)
   {
-    return a.id() == b.id() && a.birth() == b.birth() &&
+    return a.id() == b.id() && a.bootTime() == b.bootTime() &&
            a.service() == b.service() && a.address() == b.address() &&
            a.zone() == b.zone() && a.capacity() == b.capacity() &&
            a.labels() == b.labels() && a.isDraining() == b.isDraining();
--- a/tests/asynchttp/asynchttp_test.cpp
+++ b/tests/asynchttp/asynchttp_test.cpp
@@ -61,18 +61,18 @@
     }
   }
 
-  HttpCallEnd call(AsyncHttpConnectionPool& pool,
-                   const std::string& path,
-                   const std::string& body)
+  HttpCallResult call(AsyncHttpConnectionPool& pool,
+                      const std::string& path,
+                      const std::string& body)
   {
-    std::optional<HttpCallEnd> end;
-    HttpCallOrder order;
+    std::optional<HttpCallResult> end;
+    HttpCallRequest order;
     order.method = "POST";
     order.target = path;
     order.body = body;
-    pool.call(order, steadyNow() + seconds(20), [&](const HttpCallEnd& value) {
-      end = value;
-    });
+    pool.call(order,
+              steadyNow() + seconds(20),
+              [&](const HttpCallResult& value) { end = value; });
     await([&] { return end.has_value(); });
     return *end;
   }
@@ -98,10 +98,10 @@
 TEST_F(AsyncHttp, APendingRequestIsAnsweredLater)
 {
   AsyncHttpConnectionPool pool(context, address, 4);
-  std::optional<HttpCallEnd> end;
-  HttpCallOrder order;
+  std::optional<HttpCallResult> end;
+  HttpCallRequest order;
   order.target = "/wait";
-  pool.call(order, steadyNow() + seconds(20), [&](const HttpCallEnd& value) {
+  pool.call(order, steadyNow() + seconds(20), [&](const HttpCallResult& value) {
     end = value;
   });
   await([&] { return pendingTransaction != nullptr; });
@@ -117,18 +117,18 @@
 TEST_F(AsyncHttp, ReportsThatTheClientOfAPendingRequestHasDisconnected)
 {
   AsyncHttpConnectionPool pool(context, address, 4);
-  HttpCallOrder order;
+  HttpCallRequest order;
   order.target = "/wait";
-  std::optional<HttpCallEnd> end;
+  std::optional<HttpCallResult> end;
   pool.call(order,
             steadyNow() + milliseconds(1),
-            [&](const HttpCallEnd& value) { end = value; });
+            [&](const HttpCallResult& value) { end = value; });
   await([&] { return pendingTransaction != nullptr; });
   await([&] {
     pool.expire(steadyNow());
     return end.has_value();
   });
-  EXPECT_EQ(end->kind, HttpCallEnd::Kind::Unanswered);
+  EXPECT_EQ(end->kind, HttpCallResult::Kind::Unanswered);
   await([&] { return disconnects == 1; });
   pendingTransaction->answer(HttpReply::json(200, "nobody reads this"));
   EXPECT_EQ(server.pendingRequests(), 0u);
@@ -151,7 +151,7 @@
 {
   server.stop();
   AsyncHttpConnectionPool pool(context, address, 4);
-  EXPECT_EQ(call(pool, "/a", "").kind, HttpCallEnd::Kind::NotSent);
+  EXPECT_EQ(call(pool, "/a", "").kind, HttpCallResult::Kind::NotSent);
 }
 
 TEST_F(AsyncHttp, ClosesConnectionsAfterReplies)
@@ -175,10 +175,10 @@
 TEST_F(AsyncHttp, StoppingClosesIdleConnectionsAndAnswersPendingRequests)
 {
   AsyncHttpConnectionPool pool(context, address, 4);
-  std::optional<HttpCallEnd> end;
-  HttpCallOrder order;
+  std::optional<HttpCallResult> end;
+  HttpCallRequest order;
   order.target = "/wait";
-  pool.call(order, steadyNow() + seconds(20), [&](const HttpCallEnd& value) {
+  pool.call(order, steadyNow() + seconds(20), [&](const HttpCallResult& value) {
     end = value;
   });
   await([&] { return pendingTransaction != nullptr; });
@@ -191,11 +191,11 @@
 TEST_F(AsyncHttp, ATooLargeRequestIsRejected)
 {
   AsyncHttpConnectionPool pool(context, address, 4);
-  const HttpCallEnd end = call(pool, "/a", std::string(300000, 'x'));
+  const HttpCallResult end = call(pool, "/a", std::string(300000, 'x'));
   // The server may close the connection before the client has sent the whole
   // body.
   const bool isRejected =
-    end.kind == HttpCallEnd::Kind::Unanswered || end.status == 413;
+    end.kind == HttpCallResult::Kind::Unanswered || end.status == 413;
   EXPECT_TRUE(isRejected);
   EXPECT_TRUE(requests.empty());
 }
@@ -203,10 +203,10 @@
 TEST_F(AsyncHttp, CallsBeyondTheConnectionLimitAreNotSent)
 {
   AsyncHttpConnectionPool pool(context, address, 1);
-  HttpCallOrder order;
+  HttpCallRequest order;
   order.target = "/wait";
-  pool.call(order, steadyNow() + seconds(20), [](const HttpCallEnd&) {});
-  EXPECT_EQ(call(pool, "/a", "").kind, HttpCallEnd::Kind::NotSent);
+  pool.call(order, steadyNow() + seconds(20), [](const HttpCallResult&) {});
+  EXPECT_EQ(call(pool, "/a", "").kind, HttpCallResult::Kind::NotSent);
 }
 
 } // namespace
--- a/tests/entry/configurationfetch_test.cpp
+++ b/tests/entry/configurationfetch_test.cpp
@@ -29,7 +29,7 @@
 
   void advertise(const char* vm, const char* zone, std::uint64_t version)
   {
-    fetch.told(VmId(vm), ZoneName(zone), version);
+    fetch.versionAdvertised(VmId(vm), ZoneName(zone), version);
   }
 
   void advance(Duration duration) { now += duration; }
@@ -38,13 +38,13 @@
   /// before it asks a peer.
   void waitForHeadStart()
   {
-    EXPECT_FALSE(fetch.next(now, false));
-    advance(settings().headStart);
+    EXPECT_FALSE(fetch.nextRequest(now, false));
+    advance(settings().platformWait);
   }
 
   std::optional<ConfigurationFetch::Request> next()
   {
-    return fetch.next(now, false);
+    return fetch.nextRequest(now, false);
   }
 
   std::optional<std::string> receivePart(const VmId& vm,
@@ -53,7 +53,7 @@
                                          const std::string& bytes,
                                          std::uint64_t size = 10)
   {
-    return fetch.received(vm, { version, size, offset, bytes }, now);
+    return fetch.partReceived(vm, { version, size, offset, bytes }, now);
   }
 
   ConfigurationFetch fetch;
@@ -64,7 +64,7 @@
 {
   advertise("a", "z0", 21);
   EXPECT_FALSE(next());
-  advance(settings().headStart - milliseconds(1));
+  advance(settings().platformWait - milliseconds(1));
   EXPECT_FALSE(next());
   advance(milliseconds(1));
   EXPECT_TRUE(next());
@@ -73,11 +73,11 @@
 TEST_F(ConfigurationFetchTest, WaitsLongerWhileThePlatformsAnswerArrives)
 {
   advertise("a", "z0", 21);
-  EXPECT_FALSE(fetch.next(now, true));
-  advance(settings().arrivalTime - milliseconds(1));
-  EXPECT_FALSE(fetch.next(now, true));
+  EXPECT_FALSE(fetch.nextRequest(now, true));
+  advance(settings().arrivalTimeout - milliseconds(1));
+  EXPECT_FALSE(fetch.nextRequest(now, true));
   advance(milliseconds(1));
-  EXPECT_TRUE(fetch.next(now, true));
+  EXPECT_TRUE(fetch.nextRequest(now, true));
 }
 
 TEST_F(ConfigurationFetchTest, DoesNotRequestWhatIsInForce)
@@ -86,7 +86,7 @@
   advertise("b", "z0", 14);
   waitForHeadStart();
   EXPECT_FALSE(next());
-  EXPECT_EQ(fetch.newest(), 17u);
+  EXPECT_EQ(fetch.newestVersion(), 17u);
 }
 
 TEST_F(ConfigurationFetchTest, AsksOneDaemonAtATimeAndOneOfItsZoneFirst)
@@ -122,7 +122,7 @@
   ASSERT_EQ(next()->vm, VmId("a"));
   receivePart(VmId("a"), 21, 0, "0123");
   next();
-  fetch.lost(VmId("a"));
+  fetch.peerLost(VmId("a"));
   const auto other = next();
   ASSERT_TRUE(other);
   EXPECT_EQ(other->vm, VmId("b"));
@@ -135,7 +135,7 @@
   advertise("b", "z1", 21);
   waitForHeadStart();
   ASSERT_EQ(next()->vm, VmId("a"));
-  advance(settings().answerTime);
+  advance(settings().partTimeout);
   EXPECT_EQ(next()->vm, VmId("b"));
 }
 
@@ -146,11 +146,11 @@
   advertise("b", "z1", 21);
   waitForHeadStart();
   ASSERT_EQ(next()->vm, VmId("a"));
-  fetch.busy(VmId("a"), now);
+  fetch.peerBusy(VmId("a"), now);
   ASSERT_EQ(next()->vm, VmId("b"));
-  fetch.busy(VmId("b"), now);
+  fetch.peerBusy(VmId("b"), now);
   EXPECT_FALSE(next());
-  advance(settings().busyPause);
+  advance(settings().busyBackoff);
   EXPECT_EQ(next()->vm, VmId("a"));
 }
 
@@ -176,7 +176,7 @@
   waitForHeadStart();
   ASSERT_EQ(next()->vm, VmId("a"));
   receivePart(VmId("a"), 23, 0, "0123");
-  fetch.lost(VmId("a"));
+  fetch.peerLost(VmId("a"));
   const auto request = next();
   ASSERT_TRUE(request);
   EXPECT_EQ(request->vm, VmId("b"));
@@ -202,9 +202,9 @@
   waitForHeadStart();
   next();
   ASSERT_TRUE(receivePart(VmId("a"), 21, 0, "0123456789"));
-  fetch.refused(now);
+  fetch.parseFailed(now);
   EXPECT_FALSE(next());
-  advance(settings().refusedPause);
+  advance(settings().parseFailureBackoff);
   EXPECT_TRUE(next());
 }
 
@@ -232,11 +232,11 @@
   waitForHeadStart();
   ASSERT_EQ(next()->vm, VmId("a"));
   receivePart(VmId("a"), 21, 0, "0123");
-  fetch.lost(VmId("a"));
+  fetch.peerLost(VmId("a"));
   ASSERT_EQ(next()->vm, VmId("b"));
   EXPECT_FALSE(receivePart(VmId("b"), 21, 4, "4567", 8));
   EXPECT_FALSE(next());
-  advance(settings().silentPause);
+  advance(settings().noAnswerBackoff);
   const auto request = next();
   ASSERT_TRUE(request);
   EXPECT_EQ(request->message.offset, 0u);
@@ -259,10 +259,10 @@
   advertise("a", "z0", 21);
   waitForHeadStart();
   next();
-  EXPECT_FALSE(fetch.received(VmId("a"), GetParam().part, now));
+  EXPECT_FALSE(fetch.partReceived(VmId("a"), GetParam().part, now));
   EXPECT_FALSE(next()) << "if the peer were asked again at once, two daemons "
                           "would do nothing else";
-  advance(settings().silentPause);
+  advance(settings().noAnswerBackoff);
   EXPECT_EQ(next()->message.offset, 0u);
 }
 
@@ -324,7 +324,7 @@
   request("a", 21, 2000);
   EXPECT_FALSE(isBusy(request("c"))) << "a has received everything";
   EXPECT_TRUE(isBusy(request("d")));
-  source.lost(VmId("b"));
+  source.peerLost(VmId("b"));
   EXPECT_FALSE(isBusy(request("d")));
   EXPECT_TRUE(isBusy(request("e")));
   now += milliseconds(601);
--- a/tests/entry/directoryreaders_test.cpp
+++ b/tests/entry/directoryreaders_test.cpp
@@ -29,39 +29,39 @@
   return members;
 }
 
-TEST(DirectoryReaders, AreTheTwoFastestDaemonsOfEachZone)
+TEST(WorkerListReaders, AreTheTwoFastestDaemonsOfEachZone)
 {
   const auto members = membersOf({ member("a", 3),
                                    member("b", 9),
                                    member("c", 8),
                                    member("x", 1, ZoneName("z2")) });
-  const DirectoryReaders self(VmId("self"), homeZone, 5);
+  const WorkerListReaders self(VmId("self"), homeZone, 5);
   EXPECT_TRUE(self.isReader(members));
   EXPECT_EQ(self.followers(members),
             (std::vector<VmId>{ VmId("c"), VmId("b") }));
-  const DirectoryReaders slow(VmId("slow"), homeZone, 10);
+  const WorkerListReaders slow(VmId("slow"), homeZone, 10);
   EXPECT_FALSE(slow.isReader(members));
   EXPECT_TRUE(slow.followers(members).empty());
 }
 
-TEST(DirectoryReaders, DaemonsThatAreLeavingOrNotReadyDoNotRead)
+TEST(WorkerListReaders, DaemonsThatAreLeavingOrNotReadyDoNotRead)
 {
   MemberView leaving = member("a", 1);
   leaving.isLeaving = true;
   MemberView unready = member("b", 1);
   unready.isReady = false;
   const auto members = membersOf({ leaving, unready, member("c", 2) });
-  EXPECT_TRUE(DirectoryReaders(VmId("self"), homeZone, 5).isReader(members));
+  EXPECT_TRUE(WorkerListReaders(VmId("self"), homeZone, 5).isReader(members));
 }
 
-TEST(DirectoryReaders, ADaemonWithoutPeersReads)
+TEST(WorkerListReaders, ADaemonWithoutPeersReads)
 {
-  EXPECT_TRUE(DirectoryReaders(VmId("self"), homeZone, 5).isReader({}));
+  EXPECT_TRUE(WorkerListReaders(VmId("self"), homeZone, 5).isReader({}));
 }
 
 /// Guards against load on the platform that grows with the number of daemons:
 /// in a zone of 300 daemons as many read the list of workers as in a small one.
-TEST(DirectoryReaders, DoNotGrowInNumberWithTheZone)
+TEST(WorkerListReaders, DoNotGrowInNumberWithTheZone)
 {
   MemberIndex::Members all;
   for (int i = 0; i < 300; ++i) {
@@ -72,9 +72,9 @@
   for (const auto& [vm, view] : all) {
     MemberIndex::Members others = all;
     others.erase(vm);
-    readers += DirectoryReaders(vm, homeZone, view.slowness).isReader(others);
+    readers += WorkerListReaders(vm, homeZone, view.slowness).isReader(others);
   }
-  EXPECT_EQ(readers, DirectoryReaders::perZone);
+  EXPECT_EQ(readers, WorkerListReaders::perZone);
 }
 
 } // namespace
--- a/tests/entry/entrycore_test.cpp
+++ b/tests/entry/entrycore_test.cpp
@@ -15,9 +15,9 @@
 const VmId peer("peer");
 
 /// A daemon without workers, connected to one peer. The fixture records the
-/// messages that the daemon sends and its calls of `Links::setClose`. A peer is
-/// close while it has jobs in common with the daemon, so that its loss has to
-/// be detected soon.
+/// messages that the daemon sends and its calls of `Links::setSharesJobs`. A
+/// peer is close while it has jobs in common with the daemon, so that its loss
+/// has to be detected soon.
 class EntryCoreTest : public ::testing::Test
 {
 protected:
@@ -45,7 +45,7 @@
       return RoutingTable();
     };
     ports.isConfigurationArriving = [] { return false; };
-    ports.workerNews = [](const PeerWorkerNews&) {};
+    ports.workerChangesForwarded = [](const PeerWorkerChanges&) {};
     return ports;
   }
 
@@ -59,13 +59,13 @@
       return true;
     };
     links.sendToEach = [](const std::vector<VmId>&, const PeerMessage&) {};
-    links.setClose = [this](const VmId& vm, bool isClose) {
+    links.setSharesJobs = [this](const VmId& vm, bool isClose) {
       closeFlagUpdates.emplace_back(vm, isClose);
     };
-    links.isUp = [](const VmId&) { return true; };
-    links.up = [this] { return connected; };
-    links.knownCount = [] { return std::size_t(1); };
-    links.dropAll = [this] { disconnect(PeerLoss::Closed); };
+    links.isConnected = [](const VmId&) { return true; };
+    links.connectedPeers = [this] { return connected; };
+    links.knownPeerCount = [] { return std::size_t(1); };
+    links.closeAll = [this] { disconnect(PeerLoss::Closed); };
     links.post = [](const std::function<void()>&) {};
     return links;
   }
@@ -106,18 +106,18 @@
 
   /// Receives a heartbeat of a daemon that lists these jobs as in progress. The
   /// peer also advertises the shard of the zone's workers.
-  void receiveHeartbeat(const VmId& vm, std::vector<LongJob> jobs)
+  void receiveHeartbeat(const VmId& vm, std::vector<LongRunningJob> jobs)
   {
-    PeerBeat beat;
+    PeerHeartbeat beat;
     beat.isReady = true;
     if (vm == peer)
       beat.shards[{ ZoneName("z1"), 0 }] = { 5, 4, 0 };
-    beat.sentAt = PeerContact::stamp(now);
-    beat.longJobs = std::move(jobs);
+    beat.sentAt = PeerLiveness::toSentAt(now);
+    beat.longRunningJobs = std::move(jobs);
     core.received(vm, beat);
   }
 
-  void receivePeerHeartbeat(std::vector<LongJob> jobs = {})
+  void receivePeerHeartbeat(std::vector<LongRunningJob> jobs = {})
   {
     receiveHeartbeat(peer, std::move(jobs));
   }
@@ -150,10 +150,10 @@
     receivePeerHeartbeat();
     submit(job);
     advance(460);
-    const auto stamp = PeerContact::stamp(now);
-    core.received(peer, PeerBeatAck{ stamp, stamp });
+    const auto stamp = PeerLiveness::toSentAt(now);
+    core.received(peer, PeerHeartbeatAck{ stamp, stamp });
     advance(20);
-    EXPECT_EQ(sentOf<PeerKeep>().size(), 1u);
+    EXPECT_EQ(sentOf<PeerJobAdvertised>().size(), 1u);
   }
 
   /// The messages of type `Message` that were sent.
@@ -252,7 +252,7 @@
   ASSERT_EQ(sentOf<PeerRecall>().size(), 1u);
   EXPECT_EQ(sentOf<PeerRecall>()[0].job, JobId("a"));
   EXPECT_TRUE(sentOf<PeerSubmit>().empty());
-  core.received(peer, PeerRecalled{ JobId("a"), Duration::zero() });
+  core.received(peer, PeerRecallAck{ JobId("a"), Duration::zero() });
   EXPECT_EQ(sentOf<PeerSubmit>().size(), 1u);
 }
 
@@ -267,12 +267,12 @@
   advance(500);
   core.received(peer, PeerRecall{ JobId("a") });
   core.received(peer, PeerRecall{ JobId("b") });
-  const auto recalled = sentOf<PeerRecalled>();
+  const auto recalled = sentOf<PeerRecallAck>();
   ASSERT_EQ(recalled.size(), 2u);
   EXPECT_EQ(recalled[0].job, JobId("a"));
-  EXPECT_EQ(recalled[0].overIn, lostRunLimit);
+  EXPECT_EQ(recalled[0].endedWithin, maxOrphanedRun);
   EXPECT_EQ(recalled[1].job, JobId("b"));
-  EXPECT_EQ(recalled[1].overIn, Duration::zero());
+  EXPECT_EQ(recalled[1].endedWithin, Duration::zero());
   EXPECT_EQ(sentOf<PeerCancel>().size(), 1u);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
@@ -299,15 +299,15 @@
        AHeartbeatThatRequestsAnAcknowledgementIsAcknowledgedAtOnce)
 {
   connect();
-  PeerBeat beat;
-  beat.sentAt = PeerContact::stamp(now);
+  PeerHeartbeat beat;
+  beat.sentAt = PeerLiveness::toSentAt(now);
   core.received(peer, beat);
-  EXPECT_TRUE(sentOf<PeerBeatAck>().empty());
+  EXPECT_TRUE(sentOf<PeerHeartbeatAck>().empty());
   beat.sentAt += 1;
-  beat.asksAck = true;
+  beat.isAckRequested = true;
   core.received(peer, beat);
-  ASSERT_EQ(sentOf<PeerBeatAck>().size(), 1u);
-  EXPECT_EQ(sentOf<PeerBeatAck>()[0].newest, beat.sentAt);
+  ASSERT_EQ(sentOf<PeerHeartbeatAck>().size(), 1u);
+  EXPECT_EQ(sentOf<PeerHeartbeatAck>()[0].newestReceived, beat.sentAt);
 }
 
 /// Guards against a holder that grants a job its whole exclusive time again.
@@ -320,7 +320,7 @@
   request.key = JobKey(peer, JobId("a"), 1);
   request.tasks = { 0 };
   request.timeLeft = std::chrono::seconds(5);
-  request.exclusiveFor = wantedRunLimit;
+  request.exclusiveFor = maxRunAfterContact;
   core.received(peer, PeerSubmit{ request });
   const auto ends = sentOf<PeerJobEnd>();
   ASSERT_EQ(ends.size(), 1u);
@@ -337,15 +337,16 @@
   submit("a");
   const TimePoint submittedAt = now;
   advance(600);
-  EXPECT_TRUE(sentOf<PeerKeep>().empty()) << "no heartbeat was acknowledged";
-  const auto stamp = PeerContact::stamp(submittedAt) + 449999;
-  core.received(peer, PeerBeatAck{ stamp, stamp });
+  EXPECT_TRUE(sentOf<PeerJobAdvertised>().empty())
+    << "no heartbeat was acknowledged";
+  const auto stamp = PeerLiveness::toSentAt(submittedAt) + 449999;
+  core.received(peer, PeerHeartbeatAck{ stamp, stamp });
   advance(20);
-  EXPECT_TRUE(sentOf<PeerKeep>().empty())
+  EXPECT_TRUE(sentOf<PeerJobAdvertised>().empty())
     << "the acknowledged heartbeat didn't list the job yet";
-  core.received(peer, PeerBeatAck{ stamp + 1, stamp + 1 });
+  core.received(peer, PeerHeartbeatAck{ stamp + 1, stamp + 1 });
   advance(20);
-  EXPECT_EQ(sentOf<PeerKeep>().size(), 1u);
+  EXPECT_EQ(sentOf<PeerJobAdvertised>().size(), 1u);
 }
 
 /// Guards against a duplicate run after a peer's restart. The new process
@@ -433,12 +434,12 @@
   ASSERT_FALSE(recalledFrom.empty());
   const VmId firstRecalled = recalledFrom.front();
   const VmId secondRecalled = firstRecalled == peer ? other : peer;
-  core.received(firstRecalled, PeerRecalled{ job, Duration::zero() });
+  core.received(firstRecalled, PeerRecallAck{ job, Duration::zero() });
   receiveHeartbeat(firstRecalled, {});
   advance(40);
   EXPECT_TRUE(sentOf<PeerSubmit>().empty());
   EXPECT_EQ(recalledFrom.back().value(), secondRecalled.value());
-  core.received(secondRecalled, PeerRecalled{ job, Duration::zero() });
+  core.received(secondRecalled, PeerRecallAck{ job, Duration::zero() });
   receiveHeartbeat(secondRecalled, {});
   advance(40);
   EXPECT_EQ(sentOf<PeerSubmit>().size(), 1u);
--- a/tests/entry/entrydaemon_test.cpp
+++ b/tests/entry/entrydaemon_test.cpp
@@ -22,7 +22,7 @@
     return Result<RoutingTable>(RoutingTable(std::stoull(body), { Route() }));
   };
   ports.isConfigurationArriving = [] { return false; };
-  ports.workerNews = [](const PeerWorkerNews&) {};
+  ports.workerChangesForwarded = [](const PeerWorkerChanges&) {};
   return ports;
 }
 
--- a/tests/entry/gateway_test.cpp
+++ b/tests/entry/gateway_test.cpp
@@ -34,7 +34,7 @@
   Gateway::Hooks hooks()
   {
     Gateway::Hooks hooks;
-    hooks.nextHolder =
+    hooks.currentHolder =
       [this](const ShardId& shard) -> std::optional<HolderChoice> {
       const auto found = holders.find(shard);
       if (found == holders.end() && shard.count() == 1)
@@ -54,13 +54,13 @@
         HolderChoice choice;
         choice.holder = holder;
         choice.shard = shard;
-        choice.places = places;
+        choice.freeSlots = freeSlots;
         return choice;
       }
       return std::nullopt;
     };
-    hooks.areAllEvacuated = [this] { return areAllEvacuated; };
-    hooks.workers = [this](const VmId&, const ShardId&) {
+    hooks.areAllZonesEvacuated = [this] { return areAllZonesEvacuated; };
+    hooks.workersDigest = [this](const VmId&, const ShardId&) {
       return advertisedWorkers;
     };
     hooks.submit = [this](const VmId& vm, const JobRequest& request) {
@@ -70,11 +70,11 @@
     hooks.cancel = [this](const VmId& vm, const JobKey& key) {
       cancelled.emplace_back(vm, key);
     };
-    hooks.keep = [this](const VmId& vm, const JobKey& key) {
+    hooks.confirmAdvertised = [this](const VmId& vm, const JobKey& key) {
       kept.emplace_back(vm, key);
     };
-    hooks.toldUntil = [this] { return toldUntil.value_or(now); };
-    hooks.underWayAt = [this](const JobId& job) {
+    hooks.advertisedUntil = [this] { return advertisedUntil.value_or(now); };
+    hooks.inProgressAt = [this](const JobId& job) {
       const auto found = remoteJobs.find(job);
       return found == remoteJobs.end() ? std::nullopt
                                        : std::make_optional(found->second);
@@ -85,9 +85,9 @@
     return hooks;
   }
 
-  Gateway::Ticket submit(const std::string& job,
-                         unsigned tasks = 3,
-                         Duration unreadFor = Duration::zero())
+  Gateway::CallerId submit(const std::string& job,
+                           unsigned tasks = 3,
+                           Duration maxReadDelay = Duration::zero())
   {
     JobSubmission submission;
     submission.job = JobId(job);
@@ -96,7 +96,7 @@
     submission.needs.estimate = milliseconds(100);
     submission.policy.target = milliseconds(60);
     submission.timeLeft = std::chrono::seconds(5);
-    submission.unreadFor = unreadFor;
+    submission.maxReadDelay = maxReadDelay;
     return gateway.submit(
       submission,
       [this](const JobAnswer& answer) { answers.push_back(answer); },
@@ -109,7 +109,7 @@
     end.outcome = outcome;
     if (outcome == JobOutcome::Completed)
       end.done = sentRequests[index].second.tasks;
-    gateway.ended(
+    gateway.partEnded(
       sentRequests[index].first, sentRequests[index].second.key, end, now);
   }
 
@@ -120,7 +120,7 @@
     returned.holder = secondHolder;
     returned.shard = remoteShard;
     returned.nextRun = 4;
-    gateway.returned(
+    gateway.tasksReturned(
       sentRequests[index].first, sentRequests[index].second.key, returned, now);
   }
 
@@ -135,20 +135,20 @@
   /// daemons, and disconnects its only caller.
   void abandonJob(const std::string& job)
   {
-    const Gateway::Ticket ticket = submit(job);
-    now += tellAfter;
-    gateway.callerGone(ticket, now);
+    const Gateway::CallerId ticket = submit(job);
+    now += advertiseAfter;
+    gateway.callerDisconnected(ticket, now);
   }
 
-  const Duration tellAfter = Gateway::Settings().tellAfter;
-  const Duration untoldMargin = Gateway::Settings().untoldMargin;
+  const Duration advertiseAfter = Gateway::Settings().advertiseAfter;
+  const Duration unadvertisedMargin = Gateway::Settings().unadvertisedMargin;
   const VmId otherDaemon{ "other" };
   const JobId jobA{ "a" };
 
-  bool areAllEvacuated = false;
+  bool areAllZonesEvacuated = false;
   std::optional<ShardDigest> advertisedWorkers = 77;
-  /// The number of free places that each holder advertises.
-  unsigned places = 0;
+  /// The number of free slots that each holder advertises.
+  unsigned freeSlots = 0;
   TimePoint now{ std::chrono::seconds(100) };
   std::map<ShardId, VmId> holders;
   std::vector<std::pair<VmId, JobRequest>> sentRequests;
@@ -156,10 +156,10 @@
   std::vector<std::pair<VmId, JobKey>> kept;
   std::vector<std::pair<VmId, JobId>> recalled;
   /// The daemons that advertise a job as in progress.
-  std::map<JobId, KnownJobs::Place> remoteJobs;
+  std::map<JobId, PeerJobs::Location> remoteJobs;
   /// Until when the other daemons have read this daemon's list of long jobs; up
   /// to now if it isn't set.
-  std::optional<TimePoint> toldUntil;
+  std::optional<TimePoint> advertisedUntil;
   std::vector<JobAnswer> answers;
   Gateway gateway;
 };
@@ -174,7 +174,7 @@
   end(0, JobOutcome::Completed);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Completed);
-  EXPECT_EQ(gateway.waiting(), 0u);
+  EXPECT_EQ(gateway.jobCount(), 0u);
 }
 
 /// Guards against a log without the ages at which a job lost its callers.
@@ -183,11 +183,11 @@
 TEST_F(GatewayTest, LogsWhenAndWhyAJobLostItsCallers)
 {
   LogCapture log;
-  const Gateway::Ticket ticket = submit("a");
+  const Gateway::CallerId ticket = submit("a");
   submit("b");
   now += milliseconds(300);
   submit("b");
-  gateway.callerGone(ticket, now);
+  gateway.callerDisconnected(ticket, now);
   now += std::chrono::seconds(5);
   gateway.tick(now);
   const std::vector<std::pair<const char*, int>> expected = {
@@ -223,19 +223,19 @@
     end(asked, JobOutcome::Refused);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::NotRun);
-  EXPECT_EQ(sentRequests.size(), Gateway::Settings().mostAsked);
+  EXPECT_EQ(sentRequests.size(), Gateway::Settings().maxShardsAsked);
 }
 
 TEST_F(GatewayTest, AJobIsNotRefusedWhileAShardAdvertisesFreePlaces)
 {
   for (unsigned index = 0; index < 20; ++index)
     holders[ShardId(ZoneName("z3"), index, 20)] = secondHolder;
-  places = 1;
+  freeSlots = 1;
   submit("a");
   for (std::size_t asked = 0; asked < 10; ++asked)
     end(asked, JobOutcome::Refused);
   EXPECT_TRUE(answers.empty());
-  places = 0;
+  freeSlots = 0;
   end(10, JobOutcome::Refused);
   EXPECT_EQ(answers.size(), 1u);
 }
@@ -247,13 +247,13 @@
   JobEnd full;
   full.outcome = JobOutcome::Refused;
   full.retryAfter = milliseconds(700);
-  gateway.ended(firstHolder, sentRequests[0].second.key, full, now);
+  gateway.partEnded(firstHolder, sentRequests[0].second.key, full, now);
   EXPECT_TRUE(answers.empty());
   ASSERT_EQ(sentRequests.size(), 2u);
   EXPECT_EQ(sentRequests[1].first, secondHolder);
   EXPECT_FALSE(sentRequests[1].second.mayHaveRun);
   full.retryAfter = milliseconds(900);
-  gateway.ended(secondHolder, sentRequests[1].second.key, full, now);
+  gateway.partEnded(secondHolder, sentRequests[1].second.key, full, now);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::NotRun);
   EXPECT_EQ(answers[0].retryAfter, milliseconds(700))
@@ -263,13 +263,13 @@
 TEST_F(GatewayTest, AJobWhoseHolderWasLostIsNeverAnsweredAsNotRun)
 {
   submit("a");
-  gateway.daemonLost(firstHolder, now);
+  gateway.peerLost(firstHolder, now);
   holders[homeShard] = secondHolder;
   gateway.tick(now);
   ASSERT_EQ(sentRequests.size(), 2u);
   EXPECT_TRUE(sentRequests[1].second.mayHaveRun);
   ASSERT_TRUE(sentRequests[1].second.quarantine);
-  EXPECT_EQ(sentRequests[1].second.quarantine->lastHolders,
+  EXPECT_EQ(sentRequests[1].second.quarantine->lostHoldersWorkers,
             (ShardWorkers{ homeShard, 77 }));
   end(1, JobOutcome::Refused);
   for (const JobAnswer& answer : answers)
@@ -282,57 +282,57 @@
   holders = { { half, firstHolder } };
   submit("a");
   holders.clear();
-  gateway.daemonLost(firstHolder, now);
+  gateway.peerLost(firstHolder, now);
   gateway.tick(now);
   ASSERT_EQ(sentRequests.size(), 2u);
   EXPECT_EQ(sentRequests[1].second.shard, homeShard);
-  EXPECT_EQ(sentRequests[1].second.quarantine->lastHolders,
+  EXPECT_EQ(sentRequests[1].second.quarantine->lostHoldersWorkers,
             (ShardWorkers{ half, 77 }));
   now += milliseconds(1200);
-  gateway.daemonLost(secondHolder, now);
+  gateway.peerLost(secondHolder, now);
   holders = { { homeShard, firstHolder } };
   gateway.tick(now);
   ASSERT_EQ(sentRequests.size(), 3u);
   ASSERT_TRUE(sentRequests[2].second.quarantine);
-  EXPECT_FALSE(sentRequests[2].second.quarantine->lastHolders);
+  EXPECT_FALSE(sentRequests[2].second.quarantine->lostHoldersWorkers);
 }
 
 TEST_F(GatewayTest, NoShardIsNamedForRunsThatTwoHoldersMayHaveOrphaned)
 {
   submit("a");
-  gateway.daemonLost(firstHolder, now);
+  gateway.peerLost(firstHolder, now);
   holders[homeShard] = secondHolder;
   gateway.tick(now);
   ASSERT_EQ(sentRequests.size(), 2u);
   now += milliseconds(500);
-  gateway.daemonLost(secondHolder, now);
+  gateway.peerLost(secondHolder, now);
   holders[homeShard] = firstHolder;
   gateway.tick(now);
   ASSERT_EQ(sentRequests.size(), 3u);
-  EXPECT_FALSE(sentRequests[2].second.quarantine->lastHolders)
+  EXPECT_FALSE(sentRequests[2].second.quarantine->lostHoldersWorkers)
     << "the second holder may have known fewer workers than the first";
   now += milliseconds(1500);
-  gateway.daemonLost(firstHolder, now);
+  gateway.peerLost(firstHolder, now);
   gateway.tick(now);
   ASSERT_EQ(sentRequests.size(), 4u);
-  EXPECT_TRUE(sentRequests[3].second.quarantine->lastHolders);
+  EXPECT_TRUE(sentRequests[3].second.quarantine->lostHoldersWorkers);
 }
 
 TEST_F(GatewayTest, NoShardIsNamedIfTheLostHolderAdvertisedNoWorkers)
 {
   advertisedWorkers.reset();
   submit("a");
-  gateway.daemonLost(firstHolder, now);
+  gateway.peerLost(firstHolder, now);
   gateway.tick(now);
   ASSERT_EQ(sentRequests.size(), 2u);
-  EXPECT_FALSE(sentRequests[1].second.quarantine->lastHolders);
+  EXPECT_FALSE(sentRequests[1].second.quarantine->lostHoldersWorkers);
 }
 
 TEST_F(GatewayTest,
        ALostPartStartsInAnotherShardOnlyAfterItsOrphanedRunsHaveEnded)
 {
   submit("a");
-  gateway.daemonLost(firstHolder, now);
+  gateway.peerLost(firstHolder, now);
   holders.erase(homeShard);
   holders[remoteShard] = secondHolder;
   now += milliseconds(1200);
@@ -353,7 +353,7 @@
   EXPECT_EQ(sentRequests[1].first, secondHolder);
   EXPECT_EQ(sentRequests[1].second.tasks, (std::vector<TaskIndex>{ 1, 2 }));
   EXPECT_EQ(sentRequests[1].second.firstRun, 4u);
-  EXPECT_FALSE(sentRequests[1].second.mayBeReturned);
+  EXPECT_FALSE(sentRequests[1].second.allowsReturn);
   EXPECT_FALSE(sentRequests[1].second.mayHaveRun)
     << "the holder may still refuse the part";
   end(0, JobOutcome::Completed);
@@ -372,7 +372,8 @@
   end.outcome = JobOutcome::Completed;
   end.done = { 0 };
   end.nextRun = 9;
-  gateway.ended(sentRequests[0].first, sentRequests[0].second.key, end, now);
+  gateway.partEnded(
+    sentRequests[0].first, sentRequests[0].second.key, end, now);
   EXPECT_TRUE(answers.empty());
   ASSERT_EQ(sentRequests.size(), 2u);
   EXPECT_EQ(sentRequests[1].second.tasks, (std::vector<TaskIndex>{ 1, 2 }));
@@ -402,7 +403,7 @@
   TasksReturned returned;
   returned.tasks = { 1, 2 };
   returned.nextRun = 2;
-  gateway.returned(firstHolder, sentRequests[0].second.key, returned, now);
+  gateway.tasksReturned(firstHolder, sentRequests[0].second.key, returned, now);
   ASSERT_EQ(sentRequests.size(), 2u);
   EXPECT_EQ(sentRequests[1].first, secondHolder);
   EXPECT_EQ(sentRequests[1].second.shard, remoteShard);
@@ -414,7 +415,7 @@
 TEST_F(GatewayTest, AJobIsRefusedAtOnceWhileAllZonesAreEvacuated)
 {
   holders.clear();
-  areAllEvacuated = true;
+  areAllZonesEvacuated = true;
   submit("a");
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::NotRun);
@@ -435,7 +436,7 @@
 TEST_F(GatewayTest, ReportsAboutAnEarlierAssignmentAreIgnored)
 {
   submit("a");
-  gateway.daemonLost(firstHolder, now);
+  gateway.peerLost(firstHolder, now);
   gateway.tick(now);
   ASSERT_EQ(sentRequests.size(), 2u);
   EXPECT_EQ(sentRequests[1].second.previousPart,
@@ -454,7 +455,7 @@
   moved.outcome = JobOutcome::Moved;
   moved.done = { 0, 2 };
   moved.nextRun = 12;
-  gateway.ended(firstHolder, sentRequests[0].second.key, moved, now);
+  gateway.partEnded(firstHolder, sentRequests[0].second.key, moved, now);
   ASSERT_EQ(sentRequests.size(), 2u);
   EXPECT_EQ(sentRequests[1].second.tasks, std::vector<TaskIndex>{ 1 });
   EXPECT_EQ(sentRequests[1].second.firstRun, 12u);
@@ -467,7 +468,7 @@
   JobEnd moved;
   moved.outcome = JobOutcome::Moved;
   moved.crashes = { { 1, 2 } };
-  gateway.ended(firstHolder, sentRequests[0].second.key, moved, now);
+  gateway.partEnded(firstHolder, sentRequests[0].second.key, moved, now);
   ASSERT_EQ(sentRequests.size(), 2u);
   EXPECT_EQ(sentRequests[1].second.crashes, moved.crashes);
 }
@@ -478,16 +479,16 @@
   JobEnd moved;
   moved.outcome = JobOutcome::Moved;
   moved.done = { 0 };
-  moved.underWay = { { 2, WorkerId("w7") } };
-  gateway.ended(firstHolder, sentRequests[0].second.key, moved, now);
+  moved.activeTasks = { { 2, WorkerId("w7") } };
+  gateway.partEnded(firstHolder, sentRequests[0].second.key, moved, now);
   ASSERT_EQ(sentRequests.size(), 2u);
   ASSERT_TRUE(sentRequests[1].second.quarantine);
-  EXPECT_EQ(sentRequests[1].second.quarantine->underWay, moved.underWay);
-  gateway.daemonLost(firstHolder, now);
+  EXPECT_EQ(sentRequests[1].second.quarantine->activeTasks, moved.activeTasks);
+  gateway.peerLost(firstHolder, now);
   gateway.tick(now);
   ASSERT_EQ(sentRequests.size(), 3u);
   ASSERT_TRUE(sentRequests[2].second.quarantine);
-  EXPECT_FALSE(sentRequests[2].second.quarantine->underWay)
+  EXPECT_FALSE(sentRequests[2].second.quarantine->activeTasks)
     << "the runs that the lost holder has started since are unknown";
 }
 
@@ -502,14 +503,14 @@
 
 TEST_F(GatewayTest, TheLastCallerToDisconnectCancelsTheJob)
 {
-  const Gateway::Ticket one = submit("a");
-  const Gateway::Ticket two = submit("a");
-  gateway.callerGone(one, now);
+  const Gateway::CallerId one = submit("a");
+  const Gateway::CallerId two = submit("a");
+  gateway.callerDisconnected(one, now);
   EXPECT_TRUE(cancelled.empty());
-  gateway.callerGone(two, now);
+  gateway.callerDisconnected(two, now);
   ASSERT_EQ(cancelled.size(), 1u);
   EXPECT_EQ(cancelled[0].second, sentRequests[0].second.key);
-  EXPECT_EQ(gateway.waiting(), 0u);
+  EXPECT_EQ(gateway.jobCount(), 0u);
 }
 
 TEST_F(GatewayTest,
@@ -534,7 +535,7 @@
   JobEnd end;
   end.outcome = JobOutcome::Unresolved;
   end.retryAfter = std::chrono::seconds(11);
-  gateway.ended(firstHolder, sentRequests[0].second.key, end, now);
+  gateway.partEnded(firstHolder, sentRequests[0].second.key, end, now);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
   EXPECT_EQ(answers[0].retryAfter, std::chrono::seconds(11));
@@ -557,13 +558,13 @@
 {
   submit("a");
   ASSERT_EQ(sentRequests.size(), 1u);
-  EXPECT_EQ(sentRequests[0].second.exclusiveFor, wantedRunLimit);
+  EXPECT_EQ(sentRequests[0].second.exclusiveFor, maxRunAfterContact);
   now += milliseconds(300);
-  gateway.daemonLost(firstHolder, now);
+  gateway.peerLost(firstHolder, now);
   gateway.tick(now);
   ASSERT_EQ(sentRequests.size(), 2u);
   EXPECT_EQ(sentRequests[1].second.exclusiveFor,
-            wantedRunLimit - milliseconds(300));
+            maxRunAfterContact - milliseconds(300));
 }
 
 /// Guards against a job that counts as exclusive for too long. The request
@@ -573,8 +574,8 @@
   submit("a", 3, milliseconds(500));
   ASSERT_EQ(sentRequests.size(), 1u);
   EXPECT_EQ(sentRequests[0].second.exclusiveFor,
-            wantedRunLimit - milliseconds(500));
-  EXPECT_EQ(gateway.longJobs(now).size(), 1u) << "advertised at once";
+            maxRunAfterContact - milliseconds(500));
+  EXPECT_EQ(gateway.longRunningJobs(now).size(), 1u) << "advertised at once";
 }
 
 /// Guards against long jobs that are ended although all other daemons know of
@@ -582,18 +583,18 @@
 TEST_F(GatewayTest, HoldersKeepAJobOnceOtherDaemonsHaveReadOfIt)
 {
   submit("a");
-  const TimePoint longFrom = now + tellAfter;
-  toldUntil = longFrom - Duration(1);
+  const TimePoint longFrom = now + advertiseAfter;
+  advertisedUntil = longFrom - Duration(1);
   advanceTo(longFrom + milliseconds(20));
   EXPECT_TRUE(kept.empty())
     << "the other daemons have read only of an earlier time";
-  EXPECT_TRUE(gateway.hasUntoldJobs(now));
-  toldUntil = longFrom;
+  EXPECT_TRUE(gateway.hasUnadvertisedJobs(now));
+  advertisedUntil = longFrom;
   gateway.tick(now);
   ASSERT_EQ(kept.size(), 1u);
   EXPECT_EQ(kept[0], std::pair(firstHolder, sentRequests[0].second.key));
-  EXPECT_FALSE(gateway.hasUntoldJobs(now));
-  gateway.daemonLost(firstHolder, now);
+  EXPECT_FALSE(gateway.hasUnadvertisedJobs(now));
+  gateway.peerLost(firstHolder, now);
   gateway.tick(now);
   ASSERT_EQ(sentRequests.size(), 2u);
   EXPECT_EQ(sentRequests[1].second.exclusiveFor, Duration::max());
@@ -605,9 +606,9 @@
 TEST_F(GatewayTest, AShortJobIsNotKept)
 {
   submit("a");
-  advanceTo(now + tellAfter - Duration(1));
+  advanceTo(now + advertiseAfter - Duration(1));
   EXPECT_TRUE(kept.empty());
-  EXPECT_FALSE(gateway.hasUntoldJobs(now));
+  EXPECT_FALSE(gateway.hasUnadvertisedJobs(now));
 }
 
 /// Guards against a job of which one part goes on and another part is ended, as
@@ -617,7 +618,7 @@
   submit("a");
   returnTasks(0, { 1, 2 });
   ASSERT_EQ(sentRequests.size(), 2u);
-  advanceTo(now + tellAfter);
+  advanceTo(now + advertiseAfter);
   ASSERT_EQ(kept.size(), 2u);
   EXPECT_EQ(kept[0], std::pair(firstHolder, sentRequests[0].second.key));
   EXPECT_EQ(kept[1], std::pair(secondHolder, sentRequests[1].second.key));
@@ -627,16 +628,16 @@
 /// another daemon, which couldn't be told that the job is in progress here.
 TEST_F(GatewayTest, AJobThatCannotBeAdvertisedEndsBeforeItMayBeResubmitted)
 {
-  const TimePoint exclusiveUntil = now + wantedRunLimit;
-  toldUntil = now;
+  const TimePoint exclusiveUntil = now + maxRunAfterContact;
+  advertisedUntil = now;
   submit("a");
-  advanceTo(exclusiveUntil - untoldMargin - Duration(1));
+  advanceTo(exclusiveUntil - unadvertisedMargin - Duration(1));
   EXPECT_TRUE(answers.empty());
   EXPECT_TRUE(cancelled.empty());
-  advanceTo(exclusiveUntil - untoldMargin);
+  advanceTo(exclusiveUntil - unadvertisedMargin);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
-  EXPECT_EQ(answers[0].retryAfter, lostRunLimit);
+  EXPECT_EQ(answers[0].retryAfter, maxOrphanedRun);
   ASSERT_EQ(cancelled.size(), 1u);
   EXPECT_EQ(cancelled[0].second, sentRequests[0].second.key);
 }
@@ -645,9 +646,9 @@
 /// workers' leases would have to end with the job.
 TEST(GatewayBounds, AnUnadvertisedJobEndsAtItsGatewayBeforeItsHolder)
 {
-  EXPECT_GT(Gateway::Settings().untoldMargin, exclusiveMargin);
-  EXPECT_LT(Gateway::Settings().tellAfter + milliseconds(450),
-            wantedRunLimit - Gateway::Settings().untoldMargin)
+  EXPECT_GT(Gateway::Settings().unadvertisedMargin, exclusiveStopMargin);
+  EXPECT_LT(Gateway::Settings().advertiseAfter + milliseconds(450),
+            maxRunAfterContact - Gateway::Settings().unadvertisedMargin)
     << "there is time for three heartbeats";
 }
 
@@ -658,15 +659,15 @@
   submit("a");
   now += milliseconds(200);
   submit("b");
-  now += tellAfter - milliseconds(200) - Duration(1);
-  EXPECT_TRUE(gateway.longJobs(now).empty());
+  now += advertiseAfter - milliseconds(200) - Duration(1);
+  EXPECT_TRUE(gateway.longRunningJobs(now).empty());
   now += Duration(1);
-  EXPECT_EQ(gateway.longJobs(now),
-            (std::vector<LongJob>{ { jobA, milliseconds(450) } }));
+  EXPECT_EQ(gateway.longRunningJobs(now),
+            (std::vector<LongRunningJob>{ { jobA, milliseconds(450) } }));
   now += milliseconds(200);
-  EXPECT_EQ(gateway.longJobs(now),
-            (std::vector<LongJob>{ { jobA, milliseconds(650) },
-                                   { JobId("b"), milliseconds(450) } }));
+  EXPECT_EQ(gateway.longRunningJobs(now),
+            (std::vector<LongRunningJob>{ { jobA, milliseconds(650) },
+                                          { JobId("b"), milliseconds(450) } }));
 }
 
 /// Guards against a job that another daemon starts while the runs of the
@@ -674,24 +675,24 @@
 TEST_F(GatewayTest, AnAbandonedJobStaysListedUntilItsRunsHaveEnded)
 {
   abandonJob("a");
-  const TimePoint overAt = now + lostRunLimit;
-  const std::vector<LongJob> listedJobs = { { jobA, Duration::zero() } };
-  EXPECT_EQ(gateway.longJobs(now), listedJobs);
+  const TimePoint overAt = now + maxOrphanedRun;
+  const std::vector<LongRunningJob> listedJobs = { { jobA, Duration::zero() } };
+  EXPECT_EQ(gateway.longRunningJobs(now), listedJobs);
   advanceTo(overAt - Duration(1));
-  EXPECT_EQ(gateway.longJobs(now), listedJobs);
+  EXPECT_EQ(gateway.longRunningJobs(now), listedJobs);
   advanceTo(overAt);
-  EXPECT_TRUE(gateway.longJobs(now).empty());
+  EXPECT_TRUE(gateway.longRunningJobs(now).empty());
 }
 
 /// Guards against an abandoned job that is no longer listed because it has no
 /// holder: runs that its lost holder orphaned may still be in progress.
 TEST_F(GatewayTest, AnAbandonedJobWithoutAHolderStaysListed)
 {
-  const Gateway::Ticket ticket = submit("a");
-  now += tellAfter;
-  gateway.daemonLost(firstHolder, now);
-  gateway.callerGone(ticket, now);
-  EXPECT_EQ(gateway.longJobs(now).size(), 1u);
+  const Gateway::CallerId ticket = submit("a");
+  now += advertiseAfter;
+  gateway.peerLost(firstHolder, now);
+  gateway.callerDisconnected(ticket, now);
+  EXPECT_EQ(gateway.longRunningJobs(now).size(), 1u);
 }
 
 /// Guards against a second submission that waits although all runs of the first
@@ -699,9 +700,9 @@
 TEST_F(GatewayTest, ACompletedJobIsNoLongerListed)
 {
   submit("a");
-  now += tellAfter;
+  now += advertiseAfter;
   end(0, JobOutcome::Completed);
-  EXPECT_TRUE(gateway.longJobs(now).empty());
+  EXPECT_TRUE(gateway.longRunningJobs(now).empty());
   submit("a");
   EXPECT_EQ(sentRequests.size(), 2u);
 }
@@ -711,15 +712,15 @@
 TEST_F(GatewayTest, ARecallStopsTheJobAndReturnsHowLongThatMayTake)
 {
   submit("a");
-  now += tellAfter;
-  EXPECT_EQ(gateway.recall(otherDaemon, { jobA }, now), lostRunLimit);
+  now += advertiseAfter;
+  EXPECT_EQ(gateway.recallReceived(otherDaemon, { jobA }, now), maxOrphanedRun);
   ASSERT_EQ(cancelled.size(), 1u);
   EXPECT_EQ(cancelled[0].second, sentRequests[0].second.key);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
   now += milliseconds(100);
-  EXPECT_EQ(gateway.recall(otherDaemon, { jobA }, now),
-            lostRunLimit - milliseconds(100))
+  EXPECT_EQ(gateway.recallReceived(otherDaemon, { jobA }, now),
+            maxOrphanedRun - milliseconds(100))
     << "the first answer may have been lost with its connection";
 }
 
@@ -729,7 +730,8 @@
 {
   submit("a");
   now += milliseconds(100);
-  EXPECT_GT(gateway.recall(otherDaemon, { jobA }, now), Duration::zero());
+  EXPECT_GT(gateway.recallReceived(otherDaemon, { jobA }, now),
+            Duration::zero());
   EXPECT_EQ(cancelled.size(), 1u);
 }
 
@@ -737,10 +739,12 @@
 TEST_F(GatewayTest, ARecallOfAnEndedJobReturnsZero)
 {
   submit("a");
-  now += tellAfter;
+  now += advertiseAfter;
   end(0, JobOutcome::Completed);
-  EXPECT_EQ(gateway.recall(otherDaemon, { jobA }, now), Duration::zero());
-  EXPECT_EQ(gateway.recall(otherDaemon, { JobId("b") }, now), Duration::zero());
+  EXPECT_EQ(gateway.recallReceived(otherDaemon, { jobA }, now),
+            Duration::zero());
+  EXPECT_EQ(gateway.recallReceived(otherDaemon, { JobId("b") }, now),
+            Duration::zero());
 }
 
 /// Guards against a job that is started here while another daemon has it in
@@ -753,12 +757,12 @@
   EXPECT_EQ(recalled[0], std::pair(otherDaemon, jobA));
   advanceTo(now + milliseconds(20));
   EXPECT_TRUE(sentRequests.empty());
-  gateway.recalled(secondHolder, jobA, Duration::zero(), now);
+  gateway.recallAcknowledged(secondHolder, jobA, Duration::zero(), now);
   EXPECT_TRUE(sentRequests.empty()) << "this daemon wasn't asked";
   remoteJobs.clear();
-  gateway.recalled(otherDaemon, jobA, Duration::zero(), now);
+  gateway.recallAcknowledged(otherDaemon, jobA, Duration::zero(), now);
   EXPECT_EQ(sentRequests.size(), 1u);
-  gateway.recalled(otherDaemon, jobA, Duration::zero(), now);
+  gateway.recallAcknowledged(otherDaemon, jobA, Duration::zero(), now);
   EXPECT_EQ(sentRequests.size(), 1u) << "a second answer";
   EXPECT_EQ(recalled.size(), 1u);
 }
@@ -770,8 +774,8 @@
   remoteJobs[jobA] = { otherDaemon, TimePoint() };
   submit("a");
   const TimePoint overAt = now + milliseconds(300);
-  gateway.recalled(otherDaemon, jobA, milliseconds(300), now);
-  gateway.recalled(otherDaemon, jobA, Duration::zero(), now);
+  gateway.recallAcknowledged(otherDaemon, jobA, milliseconds(300), now);
+  gateway.recallAcknowledged(otherDaemon, jobA, Duration::zero(), now);
   EXPECT_TRUE(sentRequests.empty()) << "a second answer";
   remoteJobs.clear();
   advanceTo(overAt - Duration(1));
@@ -787,7 +791,7 @@
 {
   remoteJobs[jobA] = { otherDaemon, TimePoint() };
   submit("a");
-  gateway.recalled(otherDaemon, jobA, milliseconds(300), now);
+  gateway.recallAcknowledged(otherDaemon, jobA, milliseconds(300), now);
   remoteJobs[jobA] = { secondHolder, TimePoint() };
   advanceTo(now + milliseconds(300));
   EXPECT_TRUE(sentRequests.empty());
@@ -801,12 +805,12 @@
 {
   remoteJobs[jobA] = { otherDaemon, TimePoint() };
   submit("a");
-  gateway.recalled(otherDaemon, jobA, milliseconds(4900), now);
+  gateway.recallAcknowledged(otherDaemon, jobA, milliseconds(4900), now);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
   EXPECT_EQ(answers[0].retryAfter, milliseconds(4900));
   EXPECT_TRUE(sentRequests.empty());
-  EXPECT_EQ(gateway.waiting(), 0u);
+  EXPECT_EQ(gateway.jobCount(), 0u);
 }
 
 /// Guards against a job that waits forever for a lost daemon's answer to a
@@ -818,10 +822,10 @@
   remoteJobs[jobA] = { otherDaemon, TimePoint() };
   submit("a");
   remoteJobs.clear();
-  gateway.daemonLost(otherDaemon, now);
-  const TimePoint overAt = now + lostRunLimit;
+  gateway.peerLost(otherDaemon, now);
+  const TimePoint overAt = now + maxOrphanedRun;
   // By then other daemons know of the job, so that it isn't ended.
-  advanceTo(now + tellAfter);
+  advanceTo(now + advertiseAfter);
   advanceTo(overAt - Duration(1));
   EXPECT_TRUE(sentRequests.empty());
   advanceTo(overAt);
@@ -849,12 +853,12 @@
 TEST_F(GatewayTest, AJobResubmittedWhileItsRunsAreBeingStoppedIsHeld)
 {
   abandonJob("a");
-  const TimePoint overAt = now + lostRunLimit;
+  const TimePoint overAt = now + maxOrphanedRun;
   now += milliseconds(10);
   submit("a");
   submit("a");
   EXPECT_EQ(sentRequests.size(), 1u);
-  advanceTo(now + tellAfter);
+  advanceTo(now + advertiseAfter);
   advanceTo(overAt - Duration(1));
   EXPECT_EQ(sentRequests.size(), 1u);
   advanceTo(overAt);
@@ -869,10 +873,11 @@
 {
   abandonJob("a");
   submit("a");
-  now += tellAfter;
-  const std::vector<LongJob> listedJobs = gateway.longJobs(now);
-  EXPECT_EQ(std::count(
-              listedJobs.begin(), listedJobs.end(), LongJob{ jobA, tellAfter }),
+  now += advertiseAfter;
+  const std::vector<LongRunningJob> listedJobs = gateway.longRunningJobs(now);
+  EXPECT_EQ(std::count(listedJobs.begin(),
+                       listedJobs.end(),
+                       LongRunningJob{ jobA, advertiseAfter }),
             1);
 }
 
@@ -880,12 +885,12 @@
 TEST_F(GatewayTest, AJobWhoseCallerDisconnectsDuringARecallIsNotPlaced)
 {
   remoteJobs[jobA] = { otherDaemon, TimePoint() };
-  const Gateway::Ticket ticket = submit("a");
-  gateway.callerGone(ticket, now);
-  gateway.recalled(otherDaemon, jobA, Duration::zero(), now);
+  const Gateway::CallerId ticket = submit("a");
+  gateway.callerDisconnected(ticket, now);
+  gateway.recallAcknowledged(otherDaemon, jobA, Duration::zero(), now);
   EXPECT_TRUE(sentRequests.empty());
   EXPECT_TRUE(cancelled.empty());
-  EXPECT_EQ(gateway.waiting(), 0u);
+  EXPECT_EQ(gateway.jobCount(), 0u);
 }
 
 /// Guards against a job that two daemons have both started and both let run.
@@ -893,7 +898,8 @@
 {
   submit("a");
   now += milliseconds(500);
-  gateway.told(otherDaemon, { { jobA, milliseconds(1900) } }, now);
+  gateway.longRunningJobsReceived(
+    otherDaemon, { { jobA, milliseconds(1900) } }, now);
   ASSERT_EQ(recalled.size(), 1u);
   EXPECT_EQ(recalled[0], std::pair(otherDaemon, jobA));
   EXPECT_TRUE(cancelled.empty());
@@ -905,11 +911,11 @@
 {
   submit("a");
   now += milliseconds(1900);
-  gateway.told(otherDaemon,
-               { { jobA, milliseconds(500) },
-                 { jobA, Duration::zero() },
-                 { JobId("b"), milliseconds(3000) } },
-               now);
+  gateway.longRunningJobsReceived(otherDaemon,
+                                  { { jobA, milliseconds(500) },
+                                    { jobA, Duration::zero() },
+                                    { JobId("b"), milliseconds(3000) } },
+                                  now);
   EXPECT_TRUE(recalled.empty());
 }
 
@@ -919,7 +925,8 @@
 {
   remoteJobs[jobA] = { otherDaemon, TimePoint() };
   submit("a");
-  gateway.told(otherDaemon, { { jobA, milliseconds(1900) } }, now);
+  gateway.longRunningJobsReceived(
+    otherDaemon, { { jobA, milliseconds(1900) } }, now);
   EXPECT_EQ(recalled.size(), 1u);
 }
 
@@ -928,18 +935,18 @@
 TEST_F(GatewayTest, AnAdvertisedJobEndsWhereItCannotBeAdvertisedAgain)
 {
   submit("a");
-  const TimePoint longFrom = now + tellAfter;
+  const TimePoint longFrom = now + advertiseAfter;
   advanceTo(longFrom);
   ASSERT_EQ(kept.size(), 1u);
   advanceTo(longFrom + milliseconds(2000));
   EXPECT_TRUE(answers.empty());
   const TimePoint until = now + milliseconds(340);
-  toldUntil = TimePoint();
-  gateway.tellAnew(until);
-  EXPECT_TRUE(gateway.hasUntoldJobs(now));
-  advanceTo(until - untoldMargin - Duration(1));
+  advertisedUntil = TimePoint();
+  gateway.advertiseAgain(until);
+  EXPECT_TRUE(gateway.hasUnadvertisedJobs(now));
+  advanceTo(until - unadvertisedMargin - Duration(1));
   EXPECT_TRUE(answers.empty());
-  advanceTo(until - untoldMargin);
+  advanceTo(until - unadvertisedMargin);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, JobAnswer::Kind::Unknown);
   EXPECT_EQ(cancelled.size(), 1u);
@@ -949,13 +956,13 @@
 TEST_F(GatewayTest, AJobThatIsAdvertisedAgainContinues)
 {
   submit("a");
-  advanceTo(now + tellAfter);
+  advanceTo(now + advertiseAfter);
   advanceTo(now + milliseconds(2000));
-  toldUntil = TimePoint();
-  gateway.tellAnew(now + milliseconds(340));
+  advertisedUntil = TimePoint();
+  gateway.advertiseAgain(now + milliseconds(340));
   gateway.tick(now);
   EXPECT_EQ(kept.size(), 1u);
-  toldUntil.reset();
+  advertisedUntil.reset();
   advanceTo(now + milliseconds(200));
   EXPECT_EQ(kept.size(), 2u);
   advanceTo(now + milliseconds(1000));
@@ -967,13 +974,13 @@
 TEST_F(GatewayTest, AdvertisingAgainDoesNotShortenTheInitialExclusiveTime)
 {
   submit("a");
-  const TimePoint exclusiveUntil = now + wantedRunLimit;
-  advanceTo(now + tellAfter);
-  toldUntil = TimePoint();
-  gateway.tellAnew(now + milliseconds(340));
-  advanceTo(exclusiveUntil - untoldMargin - Duration(1));
+  const TimePoint exclusiveUntil = now + maxRunAfterContact;
+  advanceTo(now + advertiseAfter);
+  advertisedUntil = TimePoint();
+  gateway.advertiseAgain(now + milliseconds(340));
+  advanceTo(exclusiveUntil - unadvertisedMargin - Duration(1));
   EXPECT_TRUE(answers.empty());
-  advanceTo(exclusiveUntil - untoldMargin);
+  advanceTo(exclusiveUntil - unadvertisedMargin);
   EXPECT_EQ(answers.size(), 1u);
 }
 
@@ -981,12 +988,12 @@
 /// advertised.
 TEST_F(GatewayTest, AdvertisingAgainDoesNotExtendAnUnadvertisedJob)
 {
-  toldUntil = TimePoint();
+  advertisedUntil = TimePoint();
   submit("a");
-  const TimePoint exclusiveUntil = now + wantedRunLimit;
+  const TimePoint exclusiveUntil = now + maxRunAfterContact;
   advanceTo(now + milliseconds(1100));
-  gateway.tellAnew(now + milliseconds(340));
-  advanceTo(exclusiveUntil - untoldMargin);
+  gateway.advertiseAgain(now + milliseconds(340));
+  advanceTo(exclusiveUntil - unadvertisedMargin);
   EXPECT_EQ(answers.size(), 1u);
 }
 
--- a/tests/entry/holderchoice_test.cpp
+++ b/tests/entry/holderchoice_test.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 HolderChoice
-shardWithPlaces(unsigned index, unsigned places)
+shardWithSlots(unsigned index, unsigned slots)
 {
   HolderChoice choice;
   choice.holder = VmId("vm-" + std::to_string(index));
   choice.shard = ShardId(ZoneName("z1"), index, 3);
-  choice.places = places;
+  choice.freeSlots = slots;
   return choice;
 }
 
@@ -22,13 +22,13 @@
   HolderChooser chooser;
   EXPECT_FALSE(chooser.choose({}, {}));
   const auto sameZone =
-    chooser.choose({ shardWithPlaces(0, 0) }, { shardWithPlaces(1, 9) });
-  EXPECT_EQ(sameZone->shard, shardWithPlaces(0, 0).shard);
-  const auto otherZone = chooser.choose({}, { shardWithPlaces(1, 9) });
-  EXPECT_EQ(otherZone->shard, shardWithPlaces(1, 9).shard);
+    chooser.choose({ shardWithSlots(0, 0) }, { shardWithSlots(1, 9) });
+  EXPECT_EQ(sameZone->shard, shardWithSlots(0, 0).shard);
+  const auto otherZone = chooser.choose({}, { shardWithSlots(1, 9) });
+  EXPECT_EQ(otherZone->shard, shardWithSlots(1, 9).shard);
 }
 
-/// Three shards advertise 30, 10 and 0 free places. The first shard gets most
+/// Three shards advertise 30, 10 and 0 free slots. The first shard gets most
 /// jobs, but the figures may be outdated, so that the second one gets its share
 /// as well.
 TEST(HolderChooser, DistributesByFreePlacesWithoutSendingAllToOne)
@@ -37,7 +37,7 @@
   std::map<unsigned, int> chosen;
   for (int job = 0; job < 90; ++job) {
     const auto choice = chooser.choose(
-      { shardWithPlaces(0, 30), shardWithPlaces(1, 10), shardWithPlaces(2, 0) },
+      { shardWithSlots(0, 30), shardWithSlots(1, 10), shardWithSlots(2, 0) },
       {});
     ++chosen[choice->shard.index()];
   }
@@ -48,13 +48,13 @@
 
 TEST(HolderChooser, ARefusedJobGoesToTheShardWithMostFreePlaces)
 {
-  EXPECT_FALSE(HolderChooser::roomiest({}, {}));
-  const auto otherZone =
-    HolderChooser::roomiest({ shardWithPlaces(0, 1), shardWithPlaces(1, 2) },
-                            { shardWithPlaces(2, 5), shardWithPlaces(3, 3) });
-  EXPECT_EQ(otherZone->places, 5u);
-  const auto sameZone = HolderChooser::roomiest({ shardWithPlaces(0, 4) },
-                                                { shardWithPlaces(1, 4) });
+  EXPECT_FALSE(HolderChooser::mostFreeSlots({}, {}));
+  const auto otherZone = HolderChooser::mostFreeSlots(
+    { shardWithSlots(0, 1), shardWithSlots(1, 2) },
+    { shardWithSlots(2, 5), shardWithSlots(3, 3) });
+  EXPECT_EQ(otherZone->freeSlots, 5u);
+  const auto sameZone = HolderChooser::mostFreeSlots({ shardWithSlots(0, 4) },
+                                                     { shardWithSlots(1, 4) });
   EXPECT_EQ(sameZone->shard.index(), 0u);
 }
 
--- a/tests/entry/losstrace_test.cpp
+++ b/tests/entry/losstrace_test.cpp
@@ -90,8 +90,7 @@
   std::uint64_t counted = 0;
   std::string rendered;
   for (std::size_t daemon = 0; daemon < simulation.daemons(); ++daemon) {
-    for (const auto& [cause, count] :
-         simulation.core(daemon).figures().restarts)
+    for (const auto& [cause, count] : simulation.core(daemon).stats().restarts)
       counted += count;
     rendered += EntryMetrics().render(simulation.core(daemon));
   }
--- a/tests/entry/memberlosses_test.cpp
+++ b/tests/entry/memberlosses_test.cpp
@@ -7,76 +7,76 @@
 
 using std::chrono::seconds;
 
-class MemberLossesTest : public ::testing::Test
+class PeerLossesTest : public ::testing::Test
 {
 protected:
   void lose(int count)
   {
     for (int i = 0; i < count; ++i)
-      losses.lost(VmId("vm-" + std::to_string(i)), now);
+      losses.peerLost(VmId("vm-" + std::to_string(i)), now);
   }
 
   TimePoint now{ seconds(100) };
-  MemberLosses losses;
+  PeerLosses losses;
 };
 
 /// Guards against a daemon that runs alone from the start and takes itself for
 /// partitioned, which ends all its long jobs.
-TEST_F(MemberLossesTest, WithoutALossADaemonIsNotCutOff)
+TEST_F(PeerLossesTest, WithoutALossADaemonIsNotCutOff)
 {
-  EXPECT_FALSE(losses.isCutOff(1, now));
+  EXPECT_FALSE(losses.mayBePartitioned(1, now));
 }
 
 /// Guards against jobs that run on in the smaller part of a partitioned group
 /// while their callers submit them again in the larger part.
-TEST_F(MemberLossesTest, TheSmallerPartIsCutOff)
+TEST_F(PeerLossesTest, TheSmallerPartIsCutOff)
 {
   lose(3);
-  EXPECT_TRUE(losses.isCutOff(2, now));
+  EXPECT_TRUE(losses.mayBePartitioned(2, now));
 }
 
 /// Guards against two equal parts of a partitioned group that each take the
 /// other part for lost and go on.
-TEST_F(MemberLossesTest, EachOfTwoEqualPartsIsCutOff)
+TEST_F(PeerLossesTest, EachOfTwoEqualPartsIsCutOff)
 {
   lose(2);
-  EXPECT_TRUE(losses.isCutOff(2, now));
+  EXPECT_TRUE(losses.mayBePartitioned(2, now));
 }
 
 /// Guards against jobs that are ended on all daemons when a few of many are
 /// lost.
-TEST_F(MemberLossesTest, TheLargerPartIsNotCutOff)
+TEST_F(PeerLossesTest, TheLargerPartIsNotCutOff)
 {
   lose(2);
-  EXPECT_FALSE(losses.isCutOff(3, now));
+  EXPECT_FALSE(losses.mayBePartitioned(3, now));
 }
 
 /// Guards against a count of losses instead of lost daemons.
-TEST_F(MemberLossesTest, ADaemonThatIsLostTwiceCountsOnce)
+TEST_F(PeerLossesTest, ADaemonThatIsLostTwiceCountsOnce)
 {
   lose(1);
   lose(1);
-  EXPECT_FALSE(losses.isCutOff(2, now));
+  EXPECT_FALSE(losses.mayBePartitioned(2, now));
 }
 
 /// Guards against a group that is complete again but still counts as
 /// partitioned.
-TEST_F(MemberLossesTest, AReconnectedDaemonIsNoLongerCounted)
+TEST_F(PeerLossesTest, AReconnectedDaemonIsNoLongerCounted)
 {
   lose(2);
-  losses.back(VmId("vm-0"));
-  EXPECT_FALSE(losses.isCutOff(2, now));
+  losses.reconnected(VmId("vm-0"));
+  EXPECT_FALSE(losses.mayBePartitioned(2, now));
 }
 
 /// Guards against a group that has become smaller for good and in which no long
 /// job is ever kept.
-TEST_F(MemberLossesTest, ADaemonLostForThirtySecondsIsNoLongerCounted)
+TEST_F(PeerLossesTest, ADaemonLostForThirtySecondsIsNoLongerCounted)
 {
   lose(3);
   now += seconds(30) - Duration(1);
-  EXPECT_TRUE(losses.isCutOff(1, now));
+  EXPECT_TRUE(losses.mayBePartitioned(1, now));
   now += Duration(1);
-  EXPECT_FALSE(losses.isCutOff(1, now));
+  EXPECT_FALSE(losses.mayBePartitioned(1, now));
 }
 
 } // namespace
--- a/tests/entry/simulation.cpp
+++ b/tests/entry/simulation.cpp
@@ -131,7 +131,7 @@
 void
 Simulation::evacuationsChanged()
 {
-  ++m_evacuations.asOf;
+  ++m_evacuations.logPosition;
   const auto maxDelayMs =
     static_cast<std::size_t>(toMilliseconds(m_settings.maxReadDelay));
   for (std::size_t node = 0; node < m_nodes.size(); ++node)
--- a/tests/entry/simulation.h
+++ b/tests/entry/simulation.h
@@ -206,8 +206,8 @@
   /// A hold order that a worker answers when a run ends or its wait is over.
   struct PendingHold
   {
-    HoldOrder order;
-    std::function<void(const HoldAnswer&)> answer;
+    LeaseOrder order;
+    std::function<void(const LeaseOrderAnswer&)> answer;
   };
   struct Worker
   {
@@ -231,7 +231,7 @@
     TimePoint deadline{};
     unsigned attempt = 0;
     /// Set once the daemon has handled the submission.
-    std::shared_ptr<Gateway::Ticket> ticket;
+    std::shared_ptr<Gateway::CallerId> ticket;
     bool isWaiting = false;
     /// Whether no submission has ended otherwise than by refusal.
     bool wasAlwaysRefused = true;
@@ -292,9 +292,9 @@
                  std::function<Answer(Worker&, const Order&)> carryOut);
   void sendHoldOrder(std::size_t node,
                      const WorkerRecord& record,
-                     const HoldOrder& order,
+                     const LeaseOrder& order,
                      Duration timeout,
-                     const std::function<void(const HoldAnswer&)>& done);
+                     const std::function<void(const LeaseOrderAnswer&)>& done);
   OrderAnswer carryOutStart(Worker& worker, const StartOrder& order);
   OrderAnswer carryOutStop(Worker& worker, const StopOrder& order);
   void endRun(const WorkerId& id,
@@ -346,7 +346,7 @@
   TimePoint m_startsDelayedUntil{};
   Duration m_startDelay = Duration::zero();
   std::map<ShardId, PublishedHolder> m_publishedHolders;
-  Evacuations m_evacuations;
+  EvacuatedZones m_evacuations;
   /// Since when each evacuated zone is evacuated.
   std::map<unsigned, TimePoint> m_evacuatedSince;
   std::map<unsigned, unsigned> m_startedInZone;
--- a/tests/entry/simulation_test.cpp
+++ b/tests/entry/simulation_test.cpp
@@ -91,8 +91,8 @@
   EXPECT_EQ(held.size(), 16u) << "eight shards in each zone";
 }
 
-/// Guards against a heartbeat at each change of the free places. In a burst of
-/// jobs that fills all workers, the free places change with each task, and each
+/// Guards against a heartbeat at each change of the free slots. In a burst of
+/// jobs that fills all workers, the free slots change with each task, and each
 /// of twelve holders sent a heartbeat to all other daemons at each change.
 TEST(DaemonGroup, LimitsHeartbeatsAboutFreePlaces)
 {
@@ -170,9 +170,9 @@
   MessageCounts counts;
   for (std::size_t daemon = 0; daemon < simulation.daemons(); ++daemon) {
     counts.heartbeats.push_back(simulation.heartbeats(daemon));
-    counts.acks += simulation.messagesSent<PeerBeatAck>(daemon);
+    counts.acks += simulation.messagesSent<PeerHeartbeatAck>(daemon);
     counts.submits += simulation.messagesSent<PeerSubmit>(daemon);
-    counts.keeps += simulation.messagesSent<PeerKeep>(daemon);
+    counts.keeps += simulation.messagesSent<PeerJobAdvertised>(daemon);
     counts.recalls += simulation.messagesSent<PeerRecall>(daemon);
   }
   return counts;
--- a/tests/entry/simulationcallers.cpp
+++ b/tests/entry/simulationcallers.cpp
@@ -69,7 +69,7 @@
   caller.daemon = daemon;
   caller.daemonIncarnation = m_nodes[daemon].incarnation;
   caller.isWaiting = true;
-  caller.ticket = std::make_shared<Gateway::Ticket>(0);
+  caller.ticket = std::make_shared<Gateway::CallerId>(0);
   const unsigned attempt = ++caller.attempt;
   const auto done = [this, job, attempt](const JobAnswer& answer) {
     schedule(oneWayDelay,
@@ -98,7 +98,7 @@
               incarnation = caller.daemonIncarnation,
               ticket = caller.ticket] {
                deliver(daemon, incarnation, [this, daemon, ticket] {
-                 m_nodes[daemon].core->callerGone(*ticket);
+                 m_nodes[daemon].core->callerDisconnected(*ticket);
                });
              });
   }
--- a/tests/entry/simulationdaemons.cpp
+++ b/tests/entry/simulationdaemons.cpp
@@ -141,7 +141,8 @@
     }
     node.core->holdersRead(highest);
   });
-  const bool needsFrequentReads = m_nodes[index].core->needsHolderReads();
+  const bool needsFrequentReads =
+    m_nodes[index].core->needsFrequentHolderReads();
   schedule(needsFrequentReads ? frequentReadInterval : regularReadInterval,
            [this, index, incarnation] { readHolders(index, incarnation); });
 }
--- a/tests/entry/simulationlinks.cpp
+++ b/tests/entry/simulationlinks.cpp
@@ -91,7 +91,7 @@
       const VmId from = m_nodes[node].id;
       const unsigned incarnation = m_nodes[other].incarnation;
       const ConnectionNumber number = connection(node, other);
-      if (std::holds_alternative<PeerBeat>(message))
+      if (std::holds_alternative<PeerHeartbeat>(message))
         ++m_nodes[node].heartbeats;
       ++m_nodes[node].messagesSent[message.index()];
       const std::size_t bytes = wireBytes(message);
@@ -115,12 +115,12 @@
     for (const VmId& vm : vms)
       send(vm, message);
   };
-  links.setClose = [](const VmId&, bool) {};
-  links.isUp = [this, node](const VmId& vm) {
+  links.setSharesJobs = [](const VmId&, bool) {};
+  links.isConnected = [this, node](const VmId& vm) {
     const auto found = m_nodeOf.find(vm);
     return found != m_nodeOf.end() && isConnected(node, found->second);
   };
-  links.up = [this, node] {
+  links.connectedPeers = [this, node] {
     std::set<VmId> up;
     for (std::size_t other = 0; other < m_nodes.size(); ++other) {
       if (isConnected(node, other))
@@ -128,8 +128,8 @@
     }
     return up;
   };
-  links.knownCount = [this] { return m_nodes.size() - 1; };
-  links.dropAll = [this, node] {
+  links.knownPeerCount = [this] { return m_nodes.size() - 1; };
+  links.closeAll = [this, node] {
     for (std::size_t other = 0; other < m_nodes.size(); ++other) {
       if (!isConnected(node, other))
         continue;
--- a/tests/entry/simulationworkers.cpp
+++ b/tests/entry/simulationworkers.cpp
@@ -39,9 +39,9 @@
 }
 
 std::size_t
-wireBytes(const HoldAnswer& answer)
+wireBytes(const LeaseOrderAnswer& answer)
 {
-  const auto* report = std::get_if<HoldReport>(&answer);
+  const auto* report = std::get_if<WorkerReport>(&answer);
   const std::size_t runs =
     report ? report->active.size() + report->ended.size() : 0;
   return answerBytes + runBytes * runs;
@@ -102,13 +102,13 @@
   ++worker.incarnation;
   const std::int64_t sinceStart = toMilliseconds(m_now.time_since_epoch());
   const auto clock = static_cast<std::int64_t>(1000 * index);
-  const WorkerBirth birth(initialTimeOfDayMs + sinceStart);
-  worker.fake = std::make_unique<FakeWorker>(clock - sinceStart, birth);
+  const WorkerBootTime bootTime(initialTimeOfDayMs + sinceStart);
+  worker.fake = std::make_unique<FakeWorker>(clock - sinceStart, bootTime);
   worker.runCpuMillis.clear();
   worker.pendingHolds.clear();
   WorkerRecord::Fields fields;
   fields.id = id;
-  fields.birth = birth;
+  fields.bootTime = bootTime;
   fields.service = ServiceName("booking");
   fields.zone = ZoneName("z" + std::to_string(worker.zone));
   fields.capacity = Resources(index % 3 == 2 ? 24000 : 16000, 10000, 0);
@@ -212,16 +212,17 @@
 }
 
 void
-Simulation::sendHoldOrder(std::size_t node,
-                          const WorkerRecord& record,
-                          const HoldOrder& hold,
-                          Duration timeout,
-                          const std::function<void(const HoldAnswer&)>& done)
+Simulation::sendHoldOrder(
+  std::size_t node,
+  const WorkerRecord& record,
+  const LeaseOrder& hold,
+  Duration timeout,
+  const std::function<void(const LeaseOrderAnswer&)>& done)
 {
   const auto isAnswered = std::make_shared<bool>(false);
   const unsigned incarnation = m_nodes[node].incarnation;
   const auto answer =
-    [this, node, incarnation, isAnswered, done](const HoldAnswer& value) {
+    [this, node, incarnation, isAnswered, done](const LeaseOrderAnswer& value) {
       schedule(oneWayDelay + receiveTime(node, wireBytes(value)), [=] {
         deliver(node, incarnation, [isAnswered, done, value] {
           if (!std::exchange(*isAnswered, true))
@@ -236,16 +237,16 @@
     Worker* worker = findWorker(record.id());
     if (!worker || !reachesWorker(node, *worker))
       return;
-    const HoldAnswer value = worker->fake->hold(hold, m_now);
-    const auto* report = std::get_if<HoldReport>(&value);
-    if (!report || !report->ended.empty() || hold.wait == Duration::zero()) {
+    const LeaseOrderAnswer value = worker->fake->hold(hold, m_now);
+    const auto* report = std::get_if<WorkerReport>(&value);
+    if (!report || !report->ended.empty() || hold.maxWait == Duration::zero()) {
       answer(value);
       return;
     }
     const auto pending =
       std::make_shared<PendingHold>(PendingHold{ hold, answer });
     worker->pendingHolds.push_back(pending);
-    schedule(hold.wait, [this, id = record.id(), pending] {
+    schedule(hold.maxWait, [this, id = record.id(), pending] {
       Worker* current = findWorker(id);
       if (!current)
         return;
@@ -264,7 +265,7 @@
 {
   EntryCore::Ports ports;
   ports.hold = [this, node](const WorkerRecord& record,
-                            const HoldOrder& hold,
+                            const LeaseOrder& hold,
                             Duration timeout,
                             auto done) {
     sendHoldOrder(node, record, hold, timeout, std::move(done));
@@ -295,7 +296,7 @@
     return routing();
   };
   ports.isConfigurationArriving = [] { return false; };
-  ports.workerNews = [](const PeerWorkerNews&) {};
+  ports.workerChangesForwarded = [](const PeerWorkerChanges&) {};
   return ports;
 }
 
--- a/tests/entry/slownetwork.cpp
+++ b/tests/entry/slownetwork.cpp
@@ -13,7 +13,7 @@
 constexpr Duration stepTime = milliseconds(1);
 constexpr Duration tickInterval = milliseconds(20);
 constexpr Duration reconnectDelay = milliseconds(150);
-const SilenceWatch::Settings silenceSettings;
+const SilenceDetector::Settings silenceSettings;
 /// Most bytes that a connection sends before the next connection has its turn.
 constexpr double packetBytes = 1500;
 
@@ -119,7 +119,7 @@
   ports.isConfigurationArriving = [this, node] {
     return m_nodes[node].isAnswerArriving;
   };
-  ports.workerNews = [](const PeerWorkerNews&) {};
+  ports.workerChangesForwarded = [](const PeerWorkerChanges&) {};
   return ports;
 }
 
@@ -135,13 +135,15 @@
     for (const VmId& vm : vms)
       send(node, indexOf(vm), message);
   };
-  links.setClose = [this, node](const VmId& vm, bool isClose) {
+  links.setSharesJobs = [this, node](const VmId& vm, bool isClose) {
     const auto queue = m_queues.find({ indexOf(vm), node });
     if (queue != m_queues.end())
-      queue->second.silence.setClose(isClose, m_now);
+      queue->second.silence.setSharesJobs(isClose, m_now);
   };
-  links.isUp = [this, node](const VmId& vm) { return isUp(node, indexOf(vm)); };
-  links.up = [this, node] {
+  links.isConnected = [this, node](const VmId& vm) {
+    return isUp(node, indexOf(vm));
+  };
+  links.connectedPeers = [this, node] {
     std::set<VmId> up;
     for (std::size_t other = 0; other < m_nodes.size(); ++other) {
       if (isUp(node, other))
@@ -149,8 +151,8 @@
     }
     return up;
   };
-  links.knownCount = [this] { return m_nodes.size() - 1; };
-  links.dropAll = [] {};
+  links.knownPeerCount = [this] { return m_nodes.size() - 1; };
+  links.closeAll = [] {};
   links.post = [this, node](std::function<void()> action) {
     m_nodes[node].posted.push_back(std::move(action));
   };
@@ -201,8 +203,8 @@
 void
 SlowNetwork::connect(std::size_t a, std::size_t b)
 {
-  m_queues[{ a, b }].silence = SilenceWatch(m_now);
-  m_queues[{ b, a }].silence = SilenceWatch(m_now);
+  m_queues[{ a, b }].silence = SilenceDetector(m_now);
+  m_queues[{ b, a }].silence = SilenceDetector(m_now);
   for (const auto& [self, other] : { Direction{ a, b }, Direction{ b, a } }) {
     PeerHello hello;
     hello.vm = m_nodes[other].id;
@@ -310,9 +312,9 @@
   const PeerMessage whole = std::move(message);
   queue.messages.pop_front();
   --sender.queuedMessages;
-  queue.silence.heard(m_now);
-  if (const auto* beat = std::get_if<PeerBeat>(&whole))
-    queue.silence.promised(beat->nextWithin);
+  queue.silence.messageReceived(m_now);
+  if (const auto* beat = std::get_if<PeerHeartbeat>(&whole))
+    queue.silence.setNextHeartbeatWithin(beat->nextHeartbeatWithin);
   deliver(direction, whole);
   return true;
 }
--- a/tests/entry/slownetwork.h
+++ b/tests/entry/slownetwork.h
@@ -58,7 +58,7 @@
   {
     std::deque<std::pair<std::size_t, PeerMessage>> messages;
     /// The receiver's watch for silence of the sender.
-    SilenceWatch silence;
+    SilenceDetector silence;
   };
   struct Node
   {
--- a/tests/entry/tokensource_test.cpp
+++ b/tests/entry/tokensource_test.cpp
@@ -5,43 +5,44 @@
 namespace cowslippin::testing {
 namespace {
 
-class TokenSourceTest : public ::testing::Test
+class FencingTokenGeneratorTest : public ::testing::Test
 {
 protected:
-  TokenSource source(std::uint64_t processNumber = 7)
+  FencingTokenGenerator source(std::uint64_t processNumber = 7)
   {
-    return TokenSource([this] { return timeOfDay; }, processNumber);
+    return FencingTokenGenerator([this] { return timeOfDay; }, processNumber);
   }
 
   std::int64_t timeOfDay = 1800000000000;
 };
 
-TEST_F(TokenSourceTest, EachTokenIsHigherThanTheLastOneAndThanAnySeen)
+TEST_F(FencingTokenGeneratorTest, EachTokenIsHigherThanTheLastOneAndThanAnySeen)
 {
-  TokenSource tokens = source();
+  FencingTokenGenerator tokens = source();
   const FencingToken first = tokens.next();
   const FencingToken second = tokens.next();
   EXPECT_GT(second, first);
-  tokens.seen(second + 1000000);
+  tokens.observe(second + 1000000);
   EXPECT_GT(tokens.next(), second + 1000000);
 }
 
-TEST_F(TokenSourceTest, TwoProcessesMakeDifferentTokensAtTheSameTime)
+TEST_F(FencingTokenGeneratorTest, TwoProcessesMakeDifferentTokensAtTheSameTime)
 {
   EXPECT_NE(source(7).next(), source(8).next());
 }
 
-TEST_F(TokenSourceTest, ALaterProcessMakesAHigherTokenThanAnUnknownEarlierOne)
+TEST_F(FencingTokenGeneratorTest,
+       ALaterProcessMakesAHigherTokenThanAnUnknownEarlierOne)
 {
   const FencingToken earlier = source().next();
   timeOfDay += 5;
   EXPECT_GT(source(1).next(), earlier);
 }
 
-TEST_F(TokenSourceTest,
+TEST_F(FencingTokenGeneratorTest,
        AfterARefusalTheTokenExceedsThoseOfAClockTwoSecondsAhead)
 {
-  TokenSource tokens = source();
+  FencingTokenGenerator tokens = source();
   tokens.next();
   timeOfDay += 2000;
   const FencingToken higherToken = source(9).next();
@@ -49,10 +50,10 @@
   EXPECT_GT(tokens.nextAfterRefusal(1), higherToken);
 }
 
-TEST_F(TokenSourceTest,
+TEST_F(FencingTokenGeneratorTest,
        AfterSevenRefusalsTheTokenExceedsThoseOfAClockThreeMinutesAhead)
 {
-  TokenSource tokens = source();
+  FencingTokenGenerator tokens = source();
   timeOfDay += 180000;
   const FencingToken higherToken = source(9).next();
   timeOfDay -= 180000;
@@ -61,9 +62,9 @@
   EXPECT_GT(tokens.nextAfterRefusal(7), higherToken);
 }
 
-TEST_F(TokenSourceTest, AClockThatIsSetBackDoesNotLowerTokens)
+TEST_F(FencingTokenGeneratorTest, AClockThatIsSetBackDoesNotLowerTokens)
 {
-  TokenSource tokens = source();
+  FencingTokenGenerator tokens = source();
   const FencingToken first = tokens.next();
   timeOfDay = 0;
   EXPECT_GT(tokens.next(), first);
--- a/tests/entry/vacancyprobe_test.cpp
+++ b/tests/entry/vacancyprobe_test.cpp
@@ -9,18 +9,18 @@
 
 const ShardId shard(ZoneName("z2"), 0);
 
-HoldAnswer
+LeaseOrderAnswer
 idleReport()
 {
-  return HoldReport();
+  return WorkerReport();
 }
 
 /// The worker lists a run's end that no holder has acknowledged.
-HoldAnswer
+LeaseOrderAnswer
 reportOfEnd(std::uint64_t number)
 {
-  HoldReport report;
-  report.ended.push_back({ number, RunKey("a.0.0.1", 1), RunEnd::Lapsed });
+  WorkerReport report;
+  report.ended.push_back({ number, RunKey("a.0.0.1", 1), RunEnd::Expired });
   return report;
 }
 
@@ -30,7 +30,7 @@
   VacancyProbeTest()
     : probe({},
             [this](const WorkerRecord&,
-                   const HoldOrder& order,
+                   const LeaseOrder& order,
                    Duration,
                    VacancyProbe::Answer answer) {
               orders.push_back(order);
@@ -45,7 +45,7 @@
   }
 
   /// Starts a round 150 ms after the last one and answers its orders.
-  void answerRound(const std::vector<HoldAnswer>& round)
+  void answerRound(const std::vector<LeaseOrderAnswer>& round)
   {
     now += milliseconds(150);
     answers.clear();
@@ -56,7 +56,7 @@
   }
 
   TimePoint now{ std::chrono::seconds(100) };
-  std::vector<HoldOrder> orders;
+  std::vector<LeaseOrder> orders;
   std::vector<VacancyProbe::Answer> answers;
   VacancyProbe probe;
   std::vector<WorkerRecord> workers;
@@ -71,8 +71,8 @@
   EXPECT_TRUE(probe.isVacant(shard));
   EXPECT_EQ(orders[0].token, 7u);
   EXPECT_FALSE(orders[0].deadlineMs) << "it must not renew the lease";
-  EXPECT_EQ(orders[0].acknowledged, 0u) << "it must not acknowledge ends";
-  probe.keepOnly({});
+  EXPECT_EQ(orders[0].acknowledgedEnd, 0u) << "it must not acknowledge ends";
+  probe.dropOthers({});
   EXPECT_FALSE(probe.isVacant(shard));
 }
 
--- a/tests/jobs/exclusivejobs_test.cpp
+++ b/tests/jobs/exclusivejobs_test.cpp
@@ -7,15 +7,15 @@
 
 using std::chrono::milliseconds;
 
-/// Jobs that another daemon may receive again after `wantedRunLimit`, from a
-/// submitter that is in contact all the time.
+/// Jobs that another daemon may receive again after `maxRunAfterContact`, from
+/// a submitter that is in contact all the time.
 class ExclusiveJobs : public ::testing::Test
 {
 protected:
   ExclusiveJobs()
   {
     fixture.addWorker("w1");
-    fixture.take();
+    fixture.holdShard();
   }
 
   /// Two tasks fill the worker. They are long enough not to be taken for
@@ -23,11 +23,11 @@
   JobRequest exclusive(const std::string& name, unsigned tasks)
   {
     JobRequest request = fixture.request(name, tasks, 6800, 2000);
-    request.exclusiveFor = wantedRunLimit;
+    request.exclusiveFor = maxRunAfterContact;
     return request;
   }
 
-  JobRequest kept(const std::string& name, unsigned tasks)
+  JobRequest unlimited(const std::string& name, unsigned tasks)
   {
     return fixture.request(name, tasks, 6800, 2000);
   }
@@ -45,7 +45,7 @@
 
   /// The shortest lease that a run may have when it is started.
   const Duration lease =
-    wantedRunLimit - Scheduler::Settings().startContactLimit;
+    maxRunAfterContact - Scheduler::Settings().maxContactAgeForStart;
   SchedulerFixture fixture;
 };
 
@@ -53,34 +53,35 @@
 /// beyond the time at which another daemon may receive its job again.
 TEST_F(ExclusiveJobs, NoTaskIsStartedCloseToTheLimit)
 {
-  submit(kept("b", 2));
+  submit(unlimited("b", 2));
   submit(exclusive("a", 1));
-  fixture.pass(520);
+  fixture.advance(520);
   fixture.end("b.0.0.0", RunEnd::Done);
-  fixture.pass(20);
-  EXPECT_EQ(fixture.running(), 1u);
+  fixture.advance(20);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
 }
 
 /// Guards against reports that are requested again and again although no report
 /// can shorten a worker's lease.
 TEST_F(ExclusiveJobs, NoReportsAreRequestedIfTheLeaseIsTooLong)
 {
-  submit(kept("b", 2));
+  submit(unlimited("b", 2));
   submit(exclusive("a", 1));
-  fixture.pass(520);
+  fixture.advance(520);
   fixture.end("b.0.0.0", RunEnd::Done);
-  ASSERT_EQ(fixture.running(), 1u);
+  ASSERT_EQ(fixture.totalRuns(), 1u);
   const unsigned before = fixture.promptReports;
-  fixture.pass(20);
+  fixture.advance(20);
   EXPECT_EQ(fixture.promptReports, before);
 }
 
 /// Guards against a limit that keeps jobs waiting that could still start.
 TEST_F(ExclusiveJobs, ATaskThatCanEndBeforeTheLimitIsStarted)
 {
-  submit(kept("b", 2));
+  submit(unlimited("b", 2));
   submit(exclusive("a", 1));
-  fixture.pass(static_cast<int>(toMilliseconds(wantedRunLimit - lease)) - 30);
+  fixture.advance(static_cast<int>(toMilliseconds(maxRunAfterContact - lease)) -
+                  30);
   fixture.end("b.0.0.0", RunEnd::Done);
   EXPECT_TRUE(isRunning("a.0.0.0"));
 }
@@ -92,28 +93,28 @@
   JobRequest request = exclusive("a", 1);
   request.exclusiveFor = lease - milliseconds(1);
   submit(request);
-  EXPECT_EQ(fixture.running(), 0u);
-  fixture.scheduler.keep(request.key, fixture.now);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
+  fixture.scheduler.liftExclusivity(request.key, fixture.now);
   fixture.settle();
-  EXPECT_EQ(fixture.running(), 1u);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
 }
 
 /// Guards against a job that never continues although the other daemons have
 /// been told of it.
 TEST_F(ExclusiveJobs, AJobWhoseLimitIsLiftedIsStartedAndRunsOn)
 {
-  submit(kept("b", 2));
+  submit(unlimited("b", 2));
   const JobRequest request = exclusive("a", 2);
   submit(request);
-  fixture.pass(600);
+  fixture.advance(600);
   fixture.end("b.0.0.0", RunEnd::Done);
   fixture.end("b.0.0.1", RunEnd::Done);
-  EXPECT_EQ(fixture.running(), 0u);
-  fixture.scheduler.keep(request.key, fixture.now);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
+  fixture.scheduler.liftExclusivity(request.key, fixture.now);
   fixture.settle();
-  EXPECT_EQ(fixture.running(), 2u);
-  fixture.pass(1400);
-  EXPECT_EQ(fixture.running(), 2u);
+  EXPECT_EQ(fixture.totalRuns(), 2u);
+  fixture.advance(1400);
+  EXPECT_EQ(fixture.totalRuns(), 2u);
   EXPECT_EQ(fixture.endOf(request), nullptr);
 }
 
@@ -122,9 +123,9 @@
 TEST_F(ExclusiveJobs, LiftingTheLimitOfAnUnknownJobDoesNothing)
 {
   const JobRequest request = exclusive("a", 1);
-  fixture.scheduler.keep(request.key, fixture.now);
+  fixture.scheduler.liftExclusivity(request.key, fixture.now);
   submit(request);
-  fixture.pass(1240);
+  fixture.advance(1240);
   EXPECT_NE(fixture.endOf(request), nullptr);
 }
 
@@ -133,31 +134,31 @@
 TEST_F(ExclusiveJobs, LeasesExpireInTimeEvenIfNoStopArrives)
 {
   submit(exclusive("a", 2));
-  fixture.pass(1000);
-  ASSERT_EQ(fixture.running(), 2u);
-  fixture.isStopLost = true;
-  fixture.pass(240);
+  fixture.advance(1000);
+  ASSERT_EQ(fixture.totalRuns(), 2u);
+  fixture.areStopsLost = true;
+  fixture.advance(240);
   for (auto& [id, worker] : fixture.workers)
     worker.lapse(fixture.now);
-  EXPECT_EQ(fixture.running(), 0u);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
 }
 
 /// Guards against other runs of a worker that end because an exclusive job
 /// limits the worker's lease.
 TEST_F(ExclusiveJobs, OtherRunsOnTheWorkerContinueWhenAJobEnds)
 {
-  const JobRequest other = kept("b", 1);
+  const JobRequest other = unlimited("b", 1);
   const JobRequest request = exclusive("a", 1);
   submit(other);
   submit(request);
-  ASSERT_EQ(fixture.running(), 2u);
-  fixture.pass(1160);
+  ASSERT_EQ(fixture.totalRuns(), 2u);
+  fixture.advance(1160);
   EXPECT_TRUE(isRunning("a.0.0.0"));
-  fixture.pass(40);
+  fixture.advance(40);
   EXPECT_FALSE(isRunning("a.0.0.0")) << "stopped before the limit";
   ASSERT_NE(fixture.endOf(request), nullptr);
   EXPECT_EQ(fixture.endOf(request)->outcome, JobOutcome::TimedOut);
-  fixture.pass(600);
+  fixture.advance(600);
   EXPECT_TRUE(isRunning("b.0.0.0"));
   EXPECT_EQ(fixture.endOf(other), nullptr);
 }
@@ -168,15 +169,15 @@
 {
   const JobRequest request = exclusive("a", 1);
   submit(request);
-  fixture.pass(400);
-  fixture.scheduler.daemonLost(request.key.submitter(), false, fixture.now);
-  JobRequest again = kept("a", 1);
+  fixture.advance(400);
+  fixture.scheduler.peerLost(request.key.submitter(), false, fixture.now);
+  JobRequest again = unlimited("a", 1);
   again.previousPart = request.key.part();
   again.mayHaveRun = true;
   submit(again);
-  fixture.pass(1400);
+  fixture.advance(1400);
   EXPECT_EQ(fixture.endOf(again), nullptr);
-  EXPECT_EQ(fixture.running(), 1u);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
 }
 
 /// Guards against a job that gets its exclusive time anew each time that it is
@@ -185,14 +186,14 @@
 {
   const JobRequest request = exclusive("a", 1);
   submit(request);
-  fixture.pass(400);
-  fixture.scheduler.daemonLost(request.key.submitter(), false, fixture.now);
+  fixture.advance(400);
+  fixture.scheduler.peerLost(request.key.submitter(), false, fixture.now);
   JobRequest again = exclusive("a", 1);
   again.previousPart = request.key.part();
   again.mayHaveRun = true;
   submit(again);
-  fixture.pass(840);
-  EXPECT_EQ(fixture.running(), 0u);
+  fixture.advance(840);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
   EXPECT_NE(fixture.endOf(again), nullptr);
 }
 
--- a/tests/jobs/latestart_test.cpp
+++ b/tests/jobs/latestart_test.cpp
@@ -22,7 +22,7 @@
       fixture.addWorker(id.value());
       fixture.restartWorker(id, 1);
     }
-    fixture.take();
+    fixture.holdShard();
   }
 
   /// Submits a job whose start is delayed. Returns the worker that will receive
@@ -71,11 +71,11 @@
   const WorkerId worker = startLate(job);
   fixture.drain(worker);
   fixture.delaysStarts = false;
-  fixture.pass(400);
+  fixture.advance(400);
   EXPECT_EQ(fixture.workerOf(task), std::nullopt);
   fixture.restartUndetected(worker, 2);
   carryOutLateStarts();
-  EXPECT_EQ(fixture.running(), 1u);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
   ASSERT_NE(fixture.endOf(job), nullptr) << "it can't be placed in time";
   EXPECT_EQ(fixture.endOf(job)->outcome, JobOutcome::Unresolved);
   EXPECT_GT(fixture.endOf(job)->retryAfter, seconds(10));
@@ -104,10 +104,10 @@
   fixture.settle();
   ASSERT_EQ(fixture.workerOf(task), worker);
   fixture.restartWorker(worker, 2);
-  fixture.pass(100);
+  fixture.advance(100);
   EXPECT_EQ(fixture.workerOf(task), worker);
   carryOutLateStarts();
-  EXPECT_EQ(fixture.running(), 1u);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
 }
 
 /// Guards against a second run of the task when a caller submits the cancelled
@@ -118,24 +118,24 @@
   const WorkerId worker = startLate(job);
   fixture.delaysStarts = false;
   fixture.scheduler.cancel(job.key, fixture.now);
-  fixture.pass(400);
+  fixture.advance(400);
   fixture.drain(worker);
   const JobRequest again = fixture.request("a", 1, 6800, 2000);
   fixture.scheduler.submit(again, fixture.now);
-  fixture.pass(100);
-  EXPECT_EQ(fixture.running(), 0u);
+  fixture.advance(100);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
   ASSERT_NE(fixture.endOf(again), nullptr);
   EXPECT_EQ(fixture.endOf(again)->outcome, JobOutcome::Unresolved);
 }
 
 TEST_F(LateStart, AnnouncedByAnotherHolderKeepsTheTaskFromStartingHere)
 {
-  fixture.scheduler.addUnresolved(
+  fixture.scheduler.addUnresolvedStart(
     { RunKey(task, 1), WorkerId("far"), fixture.now + seconds(9) });
   const JobRequest job = fixture.request("a", 1);
   fixture.scheduler.submit(job, fixture.now);
-  fixture.pass(40);
-  EXPECT_EQ(fixture.running(), 0u);
+  fixture.advance(40);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
   ASSERT_NE(fixture.endOf(job), nullptr);
   EXPECT_EQ(fixture.endOf(job)->outcome, JobOutcome::Unresolved);
 }
@@ -164,7 +164,7 @@
   fixture.now += milliseconds(20);
   startAcrossRestart(fixture.request("b", 1, 12000, 2000), worker);
   carryOutLateStarts();
-  EXPECT_EQ(fixture.running(), 1u);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
 }
 
 } // namespace
--- a/tests/jobs/loadreplay_test.cpp
+++ b/tests/jobs/loadreplay_test.cpp
@@ -15,7 +15,7 @@
   {
     for (int i = 0; i < 12; ++i)
       fixture.addWorker("w" + std::to_string(i), 32000);
-    fixture.take();
+    fixture.holdShard();
   }
 
   static LoadFigures played(SchedulerFixture& fixture,
--- a/tests/jobs/losslog_test.cpp
+++ b/tests/jobs/losslog_test.cpp
@@ -14,7 +14,7 @@
   {
     fixture.addWorker("w1");
     fixture.addWorker("w2");
-    fixture.take();
+    fixture.holdShard();
   }
 
   void submit(const JobRequest& request)
@@ -54,14 +54,14 @@
   EXPECT_EQ(lines[0]["cause"], "failed");
   EXPECT_EQ(lines[0]["previousWorker"], first->value());
   EXPECT_EQ(lines[0]["sinceLossMs"], -1);
-  EXPECT_EQ(fixture.scheduler.restarts().at(RestartCause::Failed), 1u);
+  EXPECT_EQ(fixture.scheduler.restartCounts().at(RestartCause::Failed), 1u);
 }
 
 TEST_F(LossLogTest, AnAbandonedJobLogsItsWaitAndItsStoppedRuns)
 {
   submit(fixture.request("a", 2));
-  fixture.scheduler.daemonLost(VmId("gateway"), false, fixture.now);
-  fixture.pass(260);
+  fixture.scheduler.peerLost(VmId("gateway"), false, fixture.now);
+  fixture.advance(260);
   const auto lines = log.of("job-abandoned");
   ASSERT_EQ(lines.size(), 1u);
   EXPECT_EQ(lines[0]["job"], "a");
@@ -80,7 +80,7 @@
   submit(job);
   ASSERT_EQ(log.of("task-quarantined").size(), 1u);
   EXPECT_EQ(log.of("task-quarantined")[0]["leftMs"], 400);
-  fixture.pass(500);
+  fixture.advance(500);
   const auto ends = log.of("quarantine-ended");
   ASSERT_EQ(ends.size(), 1u);
   EXPECT_EQ(ends[0]["cause"], "time-passed");
@@ -98,7 +98,7 @@
                                {},
                                std::chrono::milliseconds(1200) };
   submit(job);
-  fixture.pass(200);
+  fixture.advance(200);
   const auto ends = log.of("quarantine-ended");
   ASSERT_EQ(ends.size(), 1u);
   EXPECT_EQ(ends[0]["cause"], "shard-claimed");
--- a/tests/jobs/peerplaces_test.cpp
+++ b/tests/jobs/peerplaces_test.cpp
@@ -11,10 +11,10 @@
 TEST(PeerSlots, OffersTheShardWithTheMostSlots)
 {
   PeerSlots slots;
-  EXPECT_FALSE(slots.best());
+  EXPECT_FALSE(slots.bestOffer());
   slots.set(VmId("a"), first, 3);
   slots.set(VmId("b"), second, 5);
-  const auto best = slots.best();
+  const auto best = slots.bestOffer();
   ASSERT_TRUE(best);
   EXPECT_EQ(best->holder, VmId("b"));
   EXPECT_EQ(best->shard, second);
@@ -25,10 +25,10 @@
 {
   PeerSlots slots;
   slots.set(VmId("a"), first, 2);
-  EXPECT_TRUE(slots.take(first));
-  EXPECT_FALSE(slots.take(first));
-  EXPECT_FALSE(slots.best());
-  EXPECT_FALSE(slots.take(second)) << "no holder has advertised it";
+  EXPECT_TRUE(slots.useSlot(first));
+  EXPECT_FALSE(slots.useSlot(first));
+  EXPECT_FALSE(slots.bestOffer());
+  EXPECT_FALSE(slots.useSlot(second)) << "no holder has advertised it";
 }
 
 TEST(PeerSlots, OffersNoSlotsOfAForgottenHolder)
@@ -37,8 +37,8 @@
   slots.set(VmId("a"), first, 4);
   slots.set(VmId("b"), second, 2);
   slots.forget(VmId("a"));
-  ASSERT_TRUE(slots.best());
-  EXPECT_EQ(slots.best()->holder, VmId("b"));
+  ASSERT_TRUE(slots.bestOffer());
+  EXPECT_EQ(slots.bestOffer()->holder, VmId("b"));
 }
 
 } // namespace
--- a/tests/jobs/scheduler_test.cpp
+++ b/tests/jobs/scheduler_test.cpp
@@ -12,7 +12,7 @@
   {
     fixture.addWorker("w1");
     fixture.addWorker("w2");
-    fixture.take();
+    fixture.holdShard();
   }
 
   void submit(const JobRequest& request)
@@ -28,7 +28,7 @@
 {
   const JobRequest job = fixture.request("a", 3);
   submit(job);
-  EXPECT_EQ(fixture.running(), 3u);
+  EXPECT_EQ(fixture.totalRuns(), 3u);
   fixture.end("a.0.0.0", RunEnd::Done);
   fixture.end("a.0.0.1", RunEnd::Done);
   EXPECT_EQ(fixture.endOf(job), nullptr);
@@ -40,27 +40,27 @@
 TEST_F(SchedulerTest, TasksWaitForRoomAndNoWorkerExceedsItsCapacity)
 {
   submit(fixture.request("a", 6));
-  EXPECT_EQ(fixture.running(), 4u)
+  EXPECT_EQ(fixture.totalRuns(), 4u)
     << "two tasks of 6.8 cores on each worker of 16";
   fixture.end("a.0.0.0", RunEnd::Done);
-  EXPECT_EQ(fixture.running(), 4u);
+  EXPECT_EQ(fixture.totalRuns(), 4u);
   EXPECT_EQ(fixture.scheduler.waitingTasks(), 1u);
 }
 
 TEST_F(SchedulerTest, AReportToAnEarlierLeaseDoesNotFillAWorkerTwice)
 {
-  const SentHold earlier{ 10, fixture.now };
-  const HoldAnswer beforeTheStarts = fixture.workers[WorkerId("w1")].hold(
-    { 10, std::nullopt, 0, {} }, earlier.at);
+  const SentLeaseOrder earlier{ 10, fixture.now };
+  const LeaseOrderAnswer beforeTheStarts = fixture.workers[WorkerId("w1")].hold(
+    { 10, std::nullopt, 0, {} }, earlier.sentAt);
   submit(fixture.request("a", 4));
-  ASSERT_EQ(fixture.running(), 4u);
+  ASSERT_EQ(fixture.totalRuns(), 4u);
   fixture.scheduler.releaseShard(SchedulerFixture::shard(), fixture.now);
   fixture.scheduler.takeShard(SchedulerFixture::shard(), 20, fixture.now);
   for (const char* worker : { "w1", "w2" })
-    fixture.scheduler.holdAnswered(
+    fixture.scheduler.leaseOrderAnswered(
       WorkerId(worker), earlier, beforeTheStarts, fixture.now);
   submit(fixture.request("b", 4));
-  EXPECT_EQ(fixture.running(), 4u);
+  EXPECT_EQ(fixture.totalRuns(), 4u);
 }
 
 /// Returns the number of the task's run in progress; 0 if there is none.
@@ -82,14 +82,14 @@
   fixture.settle();
   submit(fixture.request("a", 1));
   ASSERT_EQ(runInProgress(fixture, "a.0.0.0"), 1u);
-  fixture.pass(340);
+  fixture.advance(340);
   for (int tick = 0; tick < 4; ++tick) {
     fixture.now += std::chrono::milliseconds(10);
     fixture.scheduler.tick(fixture.now);
   }
-  fixture.pass(60);
+  fixture.advance(60);
   EXPECT_EQ(runInProgress(fixture, "a.0.0.0"), 2u);
-  fixture.pass(460);
+  fixture.advance(460);
   EXPECT_EQ(runInProgress(fixture, "a.0.0.0"), 3u);
 }
 
@@ -103,11 +103,11 @@
   left.key = JobKey(VmId("gateway"), JobId("left"), ++fixture.lastPart);
   left.mayHaveRun = true;
   submit(left);
-  fixture.pass(20);
+  fixture.advance(20);
   ASSERT_TRUE(fixture.end("left.0.0.0", RunEnd::Done));
   ASSERT_NE(fixture.endOf(left), nullptr);
   submit(fixture.request("next", 1, 6800, 600));
-  fixture.pass(600);
+  fixture.advance(600);
   EXPECT_EQ(runInProgress(fixture, "next.0.0.0"), 1u);
 }
 
@@ -120,7 +120,7 @@
                            : WorkerId("w2");
   fixture.end("a.0.0.0", RunEnd::Failed);
   EXPECT_EQ(fixture.workers[first].runCount(), 0u);
-  EXPECT_EQ(fixture.running(), 1u);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
   fixture.end("a.0.0.0", RunEnd::Failed);
   ASSERT_NE(fixture.endOf(job), nullptr);
   EXPECT_EQ(fixture.endOf(job)->outcome, JobOutcome::Failed);
@@ -152,7 +152,7 @@
 {
   const JobRequest job = fixture.request("a", 8, 6800, 20);
   submit(job);
-  fixture.pass(3000);
+  fixture.advance(3000);
   const JobEnd* end = fixture.endOf(job);
   EXPECT_TRUE(!end || end->outcome != JobOutcome::Refused);
 }
@@ -163,25 +163,25 @@
   submit(job);
   fixture.scheduler.cancel(job.key, fixture.now);
   fixture.settle();
-  EXPECT_EQ(fixture.running(), 0u);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
   EXPECT_EQ(fixture.endOf(job), nullptr);
 }
 
 TEST_F(SchedulerTest, RunsOfALostSubmitterAreStoppedSoon)
 {
   submit(fixture.request("a", 2));
-  fixture.scheduler.daemonLost(VmId("gateway"), false, fixture.now);
-  fixture.pass(100);
-  EXPECT_EQ(fixture.running(), 2u);
-  fixture.pass(160);
-  EXPECT_EQ(fixture.running(), 0u);
+  fixture.scheduler.peerLost(VmId("gateway"), false, fixture.now);
+  fixture.advance(100);
+  EXPECT_EQ(fixture.totalRuns(), 2u);
+  fixture.advance(160);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
 }
 
 TEST_F(SchedulerTest, AReconnectedSubmitterContinuesUnderItsNewKey)
 {
   const JobRequest first = fixture.request("a", 2);
   submit(first);
-  fixture.scheduler.daemonLost(VmId("gateway"), false, fixture.now);
+  fixture.scheduler.peerLost(VmId("gateway"), false, fixture.now);
   JobRequest again = fixture.request("a", 2);
   again.previousPart = first.key.part();
   again.mayHaveRun = true;
@@ -189,8 +189,8 @@
                                  {},
                                  std::chrono::milliseconds(1200) };
   submit(again);
-  fixture.pass(300);
-  EXPECT_EQ(fixture.running(), 2u);
+  fixture.advance(300);
+  EXPECT_EQ(fixture.totalRuns(), 2u);
   fixture.end("a.0.0.0", RunEnd::Done);
   fixture.end("a.0.0.1", RunEnd::Done);
   ASSERT_NE(fixture.endOf(again), nullptr);
@@ -205,16 +205,16 @@
   next.addWorker("w1");
   next.workers[WorkerId("w1")].start(
     { 5, RunKey("a.0.0.0", 3), "", 1000 * 1000 + 50000 + 700 }, next.now);
-  next.take();
+  next.holdShard();
   JobRequest job = next.request("a", 2);
   job.mayHaveRun = true;
   job.quarantine =
     Quarantine{ next.advertisedWorkers(), {}, std::chrono::milliseconds(1200) };
   next.scheduler.submit(job, next.now);
   next.settle();
-  next.pass(40);
+  next.advance(40);
   EXPECT_EQ(next.workers[WorkerId("w1")].starts("a.0.0.0"), 1u);
-  EXPECT_EQ(next.running(), 2u) << "the other task has no run and is started";
+  EXPECT_EQ(next.totalRuns(), 2u) << "the other task has no run and is started";
   next.end("a.0.0.0", RunEnd::Done);
   next.end("a.0.0.1", RunEnd::Done);
   ASSERT_NE(next.endOf(job), nullptr);
@@ -243,7 +243,7 @@
     next.now += std::chrono::milliseconds(20);
     next.scheduler.tick(next.now);
   }
-  EXPECT_EQ(next.running(), 1u);
+  EXPECT_EQ(next.totalRuns(), 1u);
   EXPECT_EQ(next.workers[WorkerId("w1")].starts("a.0.0.0"), 1u);
 }
 
@@ -258,15 +258,15 @@
     Quarantine{ next.advertisedWorkers(), {}, std::chrono::milliseconds(1200) };
   next.scheduler.submit(job, next.now);
   next.scheduler.tick(next.now);
-  EXPECT_EQ(next.running(), 0u);
+  EXPECT_EQ(next.totalRuns(), 0u);
   next.settle();
-  next.pass(40);
-  EXPECT_EQ(next.running(), 1u);
+  next.advance(40);
+  EXPECT_EQ(next.totalRuns(), 1u);
 }
 
 TEST_F(SchedulerTest, ATaskThatMayRunWaitsForReportsRequestedAfterTheLoss)
 {
-  fixture.pass(100);
+  fixture.advance(100);
   // An unreachable daemon has claimed and used a worker meanwhile, without this
   // daemon's knowledge.
   const std::int64_t leaseEnd = 1000 * 1000 + 50000 + 100 + 700;
@@ -280,8 +280,8 @@
                                std::chrono::milliseconds(1200) };
   fixture.scheduler.submit(job, fixture.now);
   for (int step = 0; step < 30; ++step) {
-    fixture.pass(20);
-    EXPECT_EQ(fixture.running(), 1u);
+    fixture.advance(20);
+    EXPECT_EQ(fixture.totalRuns(), 1u);
   }
   EXPECT_EQ(fixture.workers[WorkerId("w2")].starts("a.0.0.0"), 0u);
 }
@@ -291,18 +291,18 @@
 {
   SchedulerFixture next;
   next.addWorker("w1");
-  next.take();
+  next.holdShard();
   JobRequest job = next.request("a", 1);
   job.mayHaveRun = true;
   job.quarantine =
     Quarantine{ next.advertisedWorkers(), {}, std::chrono::milliseconds(1200) };
-  job.quarantine->lastHolders->digest += 1;
+  job.quarantine->lostHoldersWorkers->digest += 1;
   next.scheduler.submit(job, next.now);
-  next.pass(1100);
+  next.advance(1100);
   EXPECT_EQ(next.workers[WorkerId("w1")].starts("a.0.0.0"), 0u)
     << "the previous holder had other workers";
-  next.pass(200);
-  EXPECT_EQ(next.running(), 1u);
+  next.advance(200);
+  EXPECT_EQ(next.totalRuns(), 1u);
 }
 
 TEST_F(SchedulerTest,
@@ -314,11 +314,11 @@
     Quarantine{ std::nullopt, {}, std::chrono::milliseconds(1200) };
   fixture.scheduler.submit(job, fixture.now);
   for (int step = 0; step < 58; ++step) {
-    fixture.pass(20);
-    EXPECT_EQ(fixture.running(), 0u);
+    fixture.advance(20);
+    EXPECT_EQ(fixture.totalRuns(), 0u);
   }
-  fixture.pass(60);
-  EXPECT_EQ(fixture.running(), 1u);
+  fixture.advance(60);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
 }
 
 TEST_F(SchedulerTest, ARunReportedBeforeTheLossIsNotTakenForTheLatest)
@@ -330,7 +330,7 @@
   FakeWorker& old = next.workers[WorkerId("w1")];
   FakeWorker& latest = next.workers[WorkerId("w2")];
   old.start({ 5, RunKey("a.0.0.0", 3), "", leaseEnd }, next.now);
-  next.take();
+  next.holdShard();
   // Another holder ends that run and starts one on another worker before it is
   // lost.
   old.stop({ 50, RunKey("a.0.0.0", 3) }, next.now);
@@ -338,30 +338,33 @@
   next.now += std::chrono::milliseconds(20);
   JobRequest job = next.request("a", 1);
   job.mayHaveRun = true;
-  const TaskPlace place{ 0, WorkerId("w2") };
-  job.quarantine = Quarantine{
-    next.advertisedWorkers(), {}, std::chrono::milliseconds(1200), { { place } }
-  };
+  const TaskLocation location{ 0, WorkerId("w2") };
+  job.quarantine = Quarantine{ next.advertisedWorkers(),
+                               {},
+                               std::chrono::milliseconds(1200),
+                               { { location } } };
   next.scheduler.submit(job, next.now);
   next.scheduler.releaseShard(SchedulerFixture::shard(), next.now);
   ASSERT_NE(next.endOf(job), nullptr);
-  EXPECT_EQ(next.endOf(job)->underWay, std::vector<TaskPlace>{ place });
+  EXPECT_EQ(next.endOf(job)->activeTasks,
+            std::vector<TaskLocation>{ location });
 }
 
 TEST_F(SchedulerTest, TheDigestOfAHeldShardCoversAllWorkersThatMayHaveRuns)
 {
-  const ShardDigest whole = fixture.scheduler.digest(SchedulerFixture::shard());
+  const ShardDigest whole =
+    fixture.scheduler.workersDigest(SchedulerFixture::shard());
   submit(fixture.request("a", 1));
   for (const auto& [id, worker] : fixture.workers) {
     if (worker.runCount() > 0)
       fixture.list.erase(id);
   }
-  fixture.scheduler.setList(fixture.list, fixture.now);
-  EXPECT_EQ(fixture.scheduler.digest(SchedulerFixture::shard()), whole)
+  fixture.scheduler.setWorkers(fixture.list, fixture.now);
+  EXPECT_EQ(fixture.scheduler.workersDigest(SchedulerFixture::shard()), whole)
     << "a worker that is no longer listed has a run";
   fixture.end("a.0.0.0", RunEnd::Done);
-  fixture.pass(20);
-  EXPECT_NE(fixture.scheduler.digest(SchedulerFixture::shard()), whole);
+  fixture.advance(20);
+  EXPECT_NE(fixture.scheduler.workersDigest(SchedulerFixture::shard()), whole);
 }
 
 TEST_F(SchedulerTest, ATaskWaitsOnlyForTheWorkerThatMayRunIt)
@@ -375,16 +378,16 @@
                 { { { 0, WorkerId("w1") }, { 1, WorkerId("unlisted") } } } };
   fixture.scheduler.submit(job, fixture.now);
   fixture.settle();
-  EXPECT_EQ(fixture.running(), 1u) << "the task that had not been started";
-  fixture.pass(40);
-  EXPECT_EQ(fixture.running(), 2u)
+  EXPECT_EQ(fixture.totalRuns(), 1u) << "the task that had not been started";
+  fixture.advance(40);
+  EXPECT_EQ(fixture.totalRuns(), 2u)
     << "its worker has reported that the run is over";
   for (int step = 0; step < 55; ++step) {
-    fixture.pass(20);
-    EXPECT_EQ(fixture.running(), 2u);
+    fixture.advance(20);
+    EXPECT_EQ(fixture.totalRuns(), 2u);
   }
-  fixture.pass(100);
-  EXPECT_EQ(fixture.running(), 3u);
+  fixture.advance(100);
+  EXPECT_EQ(fixture.totalRuns(), 3u);
 }
 
 TEST_F(SchedulerTest, JobsOfAReleasedShardMoveWithoutStoppingTheirRuns)
@@ -394,14 +397,14 @@
   fixture.end("a.0.0.0", RunEnd::Done);
   fixture.scheduler.releaseShard(SchedulerFixture::shard(), fixture.now);
   fixture.settle();
-  EXPECT_EQ(fixture.running(), 1u);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
   ASSERT_NE(fixture.endOf(job), nullptr);
   EXPECT_EQ(fixture.endOf(job)->outcome, JobOutcome::Moved);
   EXPECT_EQ(fixture.endOf(job)->done, std::vector<TaskIndex>{ 0 });
-  ASSERT_EQ(fixture.endOf(job)->underWay.size(), 1u);
-  EXPECT_EQ(fixture.endOf(job)->underWay[0].task, 1u);
-  EXPECT_EQ(fixture.workers[fixture.endOf(job)->underWay[0].worker].runCount(),
-            1u);
+  ASSERT_EQ(fixture.endOf(job)->activeTasks.size(), 1u);
+  EXPECT_EQ(fixture.endOf(job)->activeTasks[0].task, 1u);
+  EXPECT_EQ(
+    fixture.workers[fixture.endOf(job)->activeTasks[0].worker].runCount(), 1u);
   EXPECT_GT(fixture.endOf(job)->nextRun, 1u);
 }
 
@@ -412,25 +415,25 @@
   submit(job);
   ASSERT_NE(fixture.endOf(job), nullptr);
   EXPECT_EQ(fixture.endOf(job)->outcome, JobOutcome::NotHolder);
-  EXPECT_EQ(fixture.running(), 0u);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
 }
 
 TEST_F(SchedulerTest, TasksWithoutRoomAreReturnedForAHolderThatHasSome)
 {
   const ShardId other(ZoneName("z2"), 0);
-  fixture.scheduler.setPeerPlaces(VmId("peer"), other, 5);
+  fixture.scheduler.setPeerSlots(VmId("peer"), other, 5);
   submit(fixture.request("a", 6));
   ASSERT_EQ(fixture.returns.size(), 1u);
   EXPECT_EQ(fixture.returns[0].holder, VmId("peer"));
   EXPECT_EQ(fixture.returns[0].shard, other);
   EXPECT_EQ(fixture.returns[0].tasks.size(), 2u);
-  EXPECT_EQ(fixture.running(), 4u);
+  EXPECT_EQ(fixture.totalRuns(), 4u);
 }
 
 /// Guards against a submitter that takes returned tasks for done.
 TEST_F(SchedulerTest, ACompletedJobReportsItsDoneTasksButNotReturnedOnes)
 {
-  fixture.scheduler.setPeerPlaces(VmId("peer"), ShardId(ZoneName("z2"), 0), 5);
+  fixture.scheduler.setPeerSlots(VmId("peer"), ShardId(ZoneName("z2"), 0), 5);
   const JobRequest job = fixture.request("a", 6);
   submit(job);
   ASSERT_EQ(fixture.returns.size(), 1u);
@@ -447,10 +450,10 @@
   const JobRequest waiting = fixture.request("b", 2, 6800, 2000);
   submit(job);
   submit(waiting);
-  ASSERT_EQ(fixture.running(), 4u);
-  fixture.scheduler.setEvacuated({ ZoneName("z1") }, fixture.now);
+  ASSERT_EQ(fixture.totalRuns(), 4u);
+  fixture.scheduler.setEvacuatedZones({ ZoneName("z1") }, fixture.now);
   fixture.settle();
-  EXPECT_EQ(fixture.running(), 4u);
+  EXPECT_EQ(fixture.totalRuns(), 4u);
   ASSERT_EQ(fixture.returns.size(), 1u);
   EXPECT_EQ(fixture.returns[0].tasks.size(), 2u);
   EXPECT_TRUE(fixture.returns[0].holder.isEmpty());
@@ -458,9 +461,9 @@
   EXPECT_EQ(fixture.endOf(waiting)->outcome, JobOutcome::Refused)
     << "no task of it was started";
   EXPECT_EQ(
-    fixture.scheduler.sparePlaces(SchedulerFixture::shard(), fixture.now), 0u);
+    fixture.scheduler.spareSlots(SchedulerFixture::shard(), fixture.now), 0u);
   fixture.end("a.0.0.0", RunEnd::Failed);
-  EXPECT_EQ(fixture.running(), 3u);
+  EXPECT_EQ(fixture.totalRuns(), 3u);
   ASSERT_EQ(fixture.returns.size(), 2u) << "its next attempt is made elsewhere";
   for (const char* task : { "a.0.0.1", "a.0.0.2", "a.0.0.3" })
     fixture.end(task, RunEnd::Done);
@@ -470,7 +473,7 @@
 
 TEST_F(SchedulerTest, AnEvacuatedZoneRefusesNewJobsUntilTheEvacuationEnds)
 {
-  fixture.scheduler.setEvacuated({ ZoneName("z1") }, fixture.now);
+  fixture.scheduler.setEvacuatedZones({ ZoneName("z1") }, fixture.now);
   const JobRequest job = fixture.request("a", 2);
   submit(job);
   ASSERT_NE(fixture.endOf(job), nullptr);
@@ -478,19 +481,18 @@
   JobRequest part = fixture.request("b", 2);
   part.mayHaveRun = true;
   submit(part);
-  EXPECT_EQ(fixture.running(), 0u);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
   ASSERT_EQ(fixture.returns.size(), 1u) << "parts of a job aren't refused";
   EXPECT_EQ(fixture.returns[0].tasks.size(), 2u);
-  fixture.scheduler.setEvacuated({}, fixture.now);
+  fixture.scheduler.setEvacuatedZones({}, fixture.now);
   submit(fixture.request("c", 2));
-  EXPECT_EQ(fixture.running(), 2u);
+  EXPECT_EQ(fixture.totalRuns(), 2u);
 }
 
 TEST_F(SchedulerTest, TasksAreNotReturnedForSlotsInAnEvacuatedZone)
 {
-  fixture.scheduler.setPeerPlaces(
-    VmId("other"), ShardId(ZoneName("z2"), 0), 50);
-  fixture.scheduler.setEvacuated({ ZoneName("z2") }, fixture.now);
+  fixture.scheduler.setPeerSlots(VmId("other"), ShardId(ZoneName("z2"), 0), 50);
+  fixture.scheduler.setEvacuatedZones({ ZoneName("z2") }, fixture.now);
   submit(fixture.request("a", 6));
   EXPECT_TRUE(fixture.returns.empty());
   EXPECT_EQ(fixture.scheduler.waitingTasks(), 2u);
@@ -499,14 +501,14 @@
 /// Each worker that starts the task restarts under its id and loses its runs.
 TEST_F(SchedulerTest, ATaskThatCrashesItsWorkersRunsAloneAndThenFails)
 {
-  std::int64_t birth = 100;
+  std::int64_t bootTime = 100;
   for (const char* id : { "w1", "w2" })
-    fixture.restartWorker(WorkerId(id), ++birth);
+    fixture.restartWorker(WorkerId(id), ++bootTime);
   const JobRequest bad = fixture.request("bad", 1, 4000, 5000);
   submit(bad);
   submit(fixture.request("good", 2, 4000, 5000));
   for (unsigned crashes = 1; crashes <= 3; ++crashes) {
-    fixture.pass(100);
+    fixture.advance(100);
     const auto worker = fixture.workerOf("bad.0.0.0");
     ASSERT_TRUE(worker) << crashes;
     if (crashes == 3) {
@@ -514,9 +516,9 @@
         << "nothing else is lost with it";
     }
     EXPECT_EQ(fixture.endOf(bad), nullptr);
-    fixture.restartWorker(*worker, ++birth);
+    fixture.restartWorker(*worker, ++bootTime);
   }
-  fixture.pass(100);
+  fixture.advance(100);
   EXPECT_FALSE(fixture.workerOf("bad.0.0.0"));
   ASSERT_NE(fixture.endOf(bad), nullptr);
   EXPECT_EQ(fixture.endOf(bad)->outcome, JobOutcome::Failed);
@@ -547,7 +549,7 @@
   job.crashes = { { 0, 2 } };
   submit(fixture.request("b", 1));
   submit(job);
-  EXPECT_EQ(fixture.running(), 2u);
+  EXPECT_EQ(fixture.totalRuns(), 2u);
   for (const auto& [id, worker] : fixture.workers)
     EXPECT_EQ(worker.runCount(), 1u) << "each on a worker of its own";
   submit(fixture.request("c", 2));
@@ -568,26 +570,26 @@
   fixture.addWorker("w2", 4000);
   const JobRequest job = fixture.request("a", 1, 6800);
   submit(job);
-  EXPECT_EQ(fixture.running(), 0u);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
   EXPECT_EQ(fixture.endOf(job), nullptr)
     << "it waits until a worker has more capacity";
   submit(fixture.request("small", 2, 3000));
-  EXPECT_EQ(fixture.running(), 2u) << "one task on each worker";
+  EXPECT_EQ(fixture.totalRuns(), 2u) << "one task on each worker";
   fixture.addWorker("w1", 16000);
-  fixture.pass(20);
-  EXPECT_EQ(fixture.running(), 3u);
+  fixture.advance(20);
+  EXPECT_EQ(fixture.totalRuns(), 3u);
 }
 
 TEST_F(SchedulerTest, AStalledTaskIsRestartedElsewhere)
 {
   submit(fixture.request("a", 1, 6800, 100));
-  ASSERT_EQ(fixture.running(), 1u);
-  fixture.pass(600);
+  ASSERT_EQ(fixture.totalRuns(), 1u);
+  fixture.advance(600);
   unsigned starts = 0;
   for (const auto& [id, worker] : fixture.workers)
     starts += worker.starts("a.0.0.0");
   EXPECT_GE(starts, 2u);
-  EXPECT_EQ(fixture.running(), 1u);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
 }
 
 TEST_F(SchedulerTest, StartsNothingWhileSuspendedAndCancelsJobsOfOthers)
@@ -596,14 +598,14 @@
   submit(foreign);
   fixture.scheduler.suspend(fixture.now);
   fixture.settle();
-  EXPECT_EQ(fixture.running(), 0u);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
   JobRequest own = fixture.request("b", 1);
   own.key = JobKey(VmId("self"), JobId("b"), 99);
   submit(own);
-  EXPECT_EQ(fixture.running(), 0u);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
   fixture.scheduler.resume(fixture.now);
   fixture.settle();
-  EXPECT_EQ(fixture.running(), 1u);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
 }
 
 TEST_F(SchedulerTest, AJobPastItsDeadlineIsStoppedAndEndsAsTimedOut)
@@ -611,10 +613,10 @@
   JobRequest job = fixture.request("a", 1, 6800, 1000);
   job.timeLeft = std::chrono::milliseconds(200);
   submit(job);
-  fixture.pass(260);
+  fixture.advance(260);
   ASSERT_NE(fixture.endOf(job), nullptr);
   EXPECT_EQ(fixture.endOf(job)->outcome, JobOutcome::TimedOut);
-  EXPECT_EQ(fixture.running(), 0u);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
 }
 
 TEST(ShardMap, DividesByPowersOfTwoAndIgnoresSmallChanges)
