--- a/tests/jobs/schedulerfixture.h
+++ b/tests/jobs/schedulerfixture.h
@@ -33,29 +33,29 @@
     fields.capacity = Resources(cpu, 1000, 0);
     list[fields.id] = WorkerRecord(fields);
     workers[fields.id];
-    scheduler.setList(list, now);
+    scheduler.setWorkers(list, now);
   }
 
   /// Restarts the worker: it loses its runs and is listed again under its id.
-  /// `birth` must rise with each restart.
-  void restartWorker(const WorkerId& id, std::int64_t birth)
+  /// `bootTime` must rise with each restart.
+  void restartWorker(const WorkerId& id, std::int64_t bootTime)
   {
     WorkerRecord::Fields fields;
     fields.id = id;
-    fields.birth = WorkerBirth(birth);
+    fields.bootTime = WorkerBootTime(bootTime);
     fields.service = list.at(id).service();
     fields.zone = list.at(id).zone();
     fields.capacity = list.at(id).capacity();
     list[id] = WorkerRecord(fields);
-    workers[id] = FakeWorker(50000, fields.birth);
-    scheduler.setList(list, now);
+    workers[id] = FakeWorker(50000, fields.bootTime);
+    scheduler.setWorkers(list, now);
     settle();
   }
 
   /// Restarts the worker without a change to the platform's list.
-  void restartUndetected(const WorkerId& id, std::int64_t birth)
+  void restartUndetected(const WorkerId& id, std::int64_t bootTime)
   {
-    workers[id] = FakeWorker(50000, WorkerBirth(birth));
+    workers[id] = FakeWorker(50000, WorkerBootTime(bootTime));
   }
 
   /// Lists the worker as draining, so that nothing is to be started on it.
@@ -63,13 +63,13 @@
   {
     WorkerRecord::Fields fields;
     fields.id = id;
-    fields.birth = list.at(id).birth();
+    fields.bootTime = list.at(id).bootTime();
     fields.service = list.at(id).service();
     fields.zone = list.at(id).zone();
     fields.capacity = list.at(id).capacity();
     fields.isDraining = true;
     list[id] = WorkerRecord(fields);
-    scheduler.setList(list, now);
+    scheduler.setWorkers(list, now);
   }
 
   /// Returns the worker that has a run of the task, if any.
@@ -84,7 +84,7 @@
     return std::nullopt;
   }
 
-  void take()
+  void holdShard()
   {
     scheduler.takeShard(shard(), 10, now);
     settle();
@@ -94,7 +94,7 @@
   /// workers.
   ShardWorkers advertisedWorkers() const
   {
-    return { shard(), scheduler.digest(shard()) };
+    return { shard(), scheduler.workersDigest(shard()) };
   }
 
   JobRequest request(const std::string& job,
@@ -125,7 +125,7 @@
     for (int round = 0; round < 20 && !orders.empty(); ++round) {
       for (const auto& order : std::exchange(orders, {}))
         order();
-      flush();
+      answerHeldReports();
     }
   }
 
@@ -138,11 +138,11 @@
       m_timed.erase(m_timed.begin());
       action();
     }
-    for (const PendingReport& parked : std::exchange(m_parked, {})) {
+    for (const PendingReport& parked : std::exchange(m_pendingReports, {})) {
       if (now >= parked.answerBy || workers[parked.worker].hasEnded())
         answer(parked);
       else
-        m_parked.push_back(parked);
+        m_pendingReports.push_back(parked);
     }
     for (int round = 0; round < 20 && !orders.empty(); ++round) {
       for (const auto& order : std::exchange(orders, {}))
@@ -160,7 +160,7 @@
           continue;
         worker.end(key, how);
         settle();
-        flush();
+        answerHeldReports();
         settle();
         return true;
       }
@@ -168,7 +168,7 @@
     return false;
   }
 
-  unsigned running() const
+  unsigned totalRuns() const
   {
     unsigned count = 0;
     for (const auto& [id, worker] : workers)
@@ -176,12 +176,12 @@
     return count;
   }
 
-  void pass(int milliseconds)
+  void advance(int milliseconds)
   {
     for (int passed = 0; passed < milliseconds; passed += 20) {
       now += std::chrono::milliseconds(20);
       scheduler.tick(now);
-      flush();
+      answerHeldReports();
       settle();
     }
   }
@@ -207,7 +207,7 @@
   bool delaysStarts = false;
   std::vector<std::pair<WorkerId, StartOrder>> lateStarts;
   /// Whether no stop arrives or is answered.
-  bool isStopLost = false;
+  bool areStopsLost = false;
   FencingToken lastToken = 10;
   /// Number of requests for a report that is answered at once.
   unsigned promptReports = 0;
@@ -216,14 +216,14 @@
   std::map<VmId, TimePoint> lastContacts;
   /// Time up to which this daemon's workers were advertised to each daemon; the
   /// present time for a daemon that isn't listed.
-  std::map<VmId, TimePoint> toldUntil;
+  std::map<VmId, TimePoint> advertisedUntil;
   Scheduler scheduler;
 
 private:
   struct PendingReport
   {
     WorkerId worker;
-    HoldOrder order;
+    LeaseOrder order;
     TimePoint sent;
     TimePoint answerBy;
   };
@@ -232,24 +232,27 @@
   {
     Scheduler::Hooks hooks;
     hooks.orders.hold = [this](const WorkerRecord& record,
-                               const HoldOrder& order,
+                               const LeaseOrder& order,
                                Duration timeout) {
-      if (order.wait == Duration::zero())
+      if (order.maxWait == Duration::zero())
         ++promptReports;
       if (isLost()) {
-        lose([this, id = record.id(), order] { workers[id].hold(order, now); },
-             [this, id = record.id(), sent = SentHold{ order.token, now }] {
-               scheduler.holdAnswered(id, sent, OrderFailure::Unanswered, now);
-             },
-             timeout);
+        loseOrder(
+          [this, id = record.id(), order] { workers[id].hold(order, now); },
+          [this, id = record.id(), sent = SentLeaseOrder{ order.token, now }] {
+            scheduler.leaseOrderAnswered(
+              id, sent, OrderFailure::Unanswered, now);
+          },
+          timeout);
         return;
       }
-      if (order.wait > Duration::zero()) {
-        m_parked.push_back({ record.id(), order, now, now + order.wait });
+      if (order.maxWait > Duration::zero()) {
+        m_pendingReports.push_back(
+          { record.id(), order, now, now + order.maxWait });
         return;
       }
       orders.push_back([this, id = record.id(), order, sent = now] {
-        scheduler.holdAnswered(
+        scheduler.leaseOrderAnswered(
           id, { order.token, sent }, workers[id].hold(order, now), now);
       });
     };
@@ -264,11 +267,12 @@
         return;
       }
       if (isLost()) {
-        lose([this, id = record.id(), order] { workers[id].start(order, now); },
-             [this, id = record.id(), key = order.key] {
-               scheduler.startAnswered(id, key, OrderFailure::Unanswered, now);
-             },
-             timeout);
+        loseOrder(
+          [this, id = record.id(), order] { workers[id].start(order, now); },
+          [this, id = record.id(), key = order.key] {
+            scheduler.startAnswered(id, key, OrderFailure::Unanswered, now);
+          },
+          timeout);
         return;
       }
       orders.push_back([this, id = record.id(), order] {
@@ -279,14 +283,15 @@
     hooks.orders.stop = [this](const WorkerRecord& record,
                                const StopOrder& order,
                                Duration timeout) {
-      if (isStopLost)
+      if (areStopsLost)
         return;
       if (isLost()) {
-        lose([this, id = record.id(), order] { workers[id].stop(order, now); },
-             [this, id = record.id(), key = order.key] {
-               scheduler.stopAnswered(id, key, OrderFailure::Unanswered, now);
-             },
-             timeout);
+        loseOrder(
+          [this, id = record.id(), order] { workers[id].stop(order, now); },
+          [this, id = record.id(), key = order.key] {
+            scheduler.stopAnswered(id, key, OrderFailure::Unanswered, now);
+          },
+          timeout);
         return;
       }
       orders.push_back([this, id = record.id(), order] {
@@ -294,31 +299,31 @@
           id, order.key, workers[id].stop(order, now), now);
       });
     };
-    hooks.ended = [this](const JobKey& key, const JobEnd& end) {
+    hooks.jobEnded = [this](const JobKey& key, const JobEnd& end) {
       ends[key] = end;
     };
-    hooks.returned = [this](const JobKey&, const TasksReturned& returned) {
+    hooks.tasksReturned = [this](const JobKey&, const TasksReturned& returned) {
       returns.push_back(returned);
     };
     hooks.higherToken = [this](unsigned) { return lastToken += 10; };
-    hooks.startUnresolved = [this](const UnresolvedStart& start) {
+    hooks.unresolvedStartFound = [this](const UnresolvedStart& start) {
       unresolved.push_back(start);
     };
-    hooks.fenced = [](const ShardId&) {};
+    hooks.workerFenced = [](const ShardId&) {};
     hooks.lastContact = [this](const VmId& vm) {
       const auto found = lastContacts.find(vm);
       return found == lastContacts.end() ? now : found->second;
     };
-    hooks.toldUntil = [this](const VmId& vm) {
-      const auto found = toldUntil.find(vm);
-      return found == toldUntil.end() ? now : found->second;
+    hooks.advertisedUntil = [this](const VmId& vm) {
+      const auto found = advertisedUntil.find(vm);
+      return found == advertisedUntil.end() ? now : found->second;
     };
     return hooks;
   }
 
-  void flush()
+  void answerHeldReports()
   {
-    for (const PendingReport& parked : std::exchange(m_parked, {}))
+    for (const PendingReport& parked : std::exchange(m_pendingReports, {}))
       answer(parked);
     for (const auto& order : std::exchange(orders, {}))
       order();
@@ -327,10 +332,11 @@
   void answer(const PendingReport& parked)
   {
     orders.push_back([this, parked] {
-      scheduler.holdAnswered(parked.worker,
-                             { parked.order.token, parked.sent },
-                             workers[parked.worker].hold(parked.order, now),
-                             now);
+      scheduler.leaseOrderAnswered(
+        parked.worker,
+        { parked.order.token, parked.sent },
+        workers[parked.worker].hold(parked.order, now),
+        now);
     });
   }
 
@@ -341,15 +347,15 @@
 
   /// The sender gets no answer, and the worker receives the order 3 seconds
   /// later.
-  void lose(std::function<void()> carryOut,
-            std::function<void()> unanswered,
-            Duration timeout)
+  void loseOrder(std::function<void()> carryOut,
+                 std::function<void()> unanswered,
+                 Duration timeout)
   {
     m_timed.emplace(now + timeout, std::move(unanswered));
     m_timed.emplace(now + std::chrono::seconds(3), std::move(carryOut));
   }
 
-  std::vector<PendingReport> m_parked;
+  std::vector<PendingReport> m_pendingReports;
   std::multimap<TimePoint, std::function<void()>> m_timed;
   std::mt19937_64 m_random;
 };
--- a/tests/jobs/shardsizes_test.cpp
+++ b/tests/jobs/shardsizes_test.cpp
@@ -12,36 +12,36 @@
 
 TEST(CarriedWorkers, FollowTheTighterLimitOfLinkAndProcessor)
 {
-  EXPECT_EQ(carriedWorkers({}), maxWorkersPerShard);
-  EXPECT_EQ(carriedWorkers({ 0.12, 25 }), 40u);
-  EXPECT_EQ(carriedWorkers({ 0.12, 2 }), 8u);
-  EXPECT_EQ(carriedWorkers({ 0.12, 8 }), 30u);
-  EXPECT_EQ(carriedWorkers({ 0.06, 25 }), 20u);
-  EXPECT_EQ(carriedWorkers({ 4, 10000 }), maxWorkersPerShard);
-  EXPECT_EQ(carriedWorkers({ 0.001, 0.1 }), 1u);
+  EXPECT_EQ(maxWorkersFor({}), maxWorkersPerShard);
+  EXPECT_EQ(maxWorkersFor({ 0.12, 25 }), 40u);
+  EXPECT_EQ(maxWorkersFor({ 0.12, 2 }), 8u);
+  EXPECT_EQ(maxWorkersFor({ 0.12, 8 }), 30u);
+  EXPECT_EQ(maxWorkersFor({ 0.06, 25 }), 20u);
+  EXPECT_EQ(maxWorkersFor({ 4, 10000 }), maxWorkersPerShard);
+  EXPECT_EQ(maxWorkersFor({ 0.001, 0.1 }), 1u);
 }
 
-TEST(ShardSizes, FallAtOnceAndRiseOnlyAfterAWhile)
+TEST(ShardSizeLimits, FallAtOnceAndRiseOnlyAfterAWhile)
 {
-  ShardSizes sizes;
+  ShardSizeLimits sizes;
   EXPECT_FALSE(sizes.update({ { zone, maxWorkersPerShard } }, start));
   EXPECT_TRUE(sizes.update({ { zone, 8 } }, start));
-  EXPECT_EQ(sizes.bounds().at(zone), 8u);
+  EXPECT_EQ(sizes.limits().at(zone), 8u);
   EXPECT_FALSE(sizes.update({ { zone, 40 } }, start + seconds(1)));
   EXPECT_FALSE(sizes.update({ { zone, 8 } }, start + seconds(5)))
     << "the weakest daemon was unreachable for a moment";
   EXPECT_FALSE(sizes.update({ { zone, 40 } }, start + seconds(6)));
   EXPECT_FALSE(sizes.update({ { zone, 40 } }, start + seconds(25)));
   EXPECT_TRUE(sizes.update({ { zone, 40 } }, start + seconds(26)));
-  EXPECT_EQ(sizes.bounds().at(zone), 40u);
+  EXPECT_EQ(sizes.limits().at(zone), 40u);
 }
 
-TEST(ShardSizes, StayForAZoneThatCannotBeReached)
+TEST(ShardSizeLimits, StayForAZoneThatCannotBeReached)
 {
-  ShardSizes sizes;
+  ShardSizeLimits sizes;
   sizes.update({ { zone, 8 } }, start);
   EXPECT_FALSE(sizes.update({}, start + seconds(60)));
-  EXPECT_EQ(sizes.bounds().at(zone), 8u);
+  EXPECT_EQ(sizes.limits().at(zone), 8u);
 }
 
 } // namespace
--- a/tests/jobs/submittercontact_test.cpp
+++ b/tests/jobs/submittercontact_test.cpp
@@ -15,7 +15,7 @@
   SubmitterContact()
   {
     fixture.addWorker("w1");
-    fixture.take();
+    fixture.holdShard();
   }
 
   /// A job whose tasks are long enough not to be taken for stalled.
@@ -41,11 +41,11 @@
   loseContact();
   fixture.now += milliseconds(800);
   submit(job(1));
-  EXPECT_EQ(fixture.running(), 0u);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
   fixture.lastContacts[gateway] = fixture.now;
   fixture.scheduler.contactRenewed(fixture.now);
   fixture.settle();
-  EXPECT_EQ(fixture.running(), 1u);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
 }
 
 TEST_F(SubmitterContact, AJobOfALateSubmitterIsReturnedAndItsRunsAreStopped)
@@ -54,66 +54,66 @@
   submit(request);
   fixture.end("a.0.0.1", RunEnd::Done);
   loseContact();
-  fixture.pass(840);
+  fixture.advance(840);
   EXPECT_EQ(fixture.endOf(request), nullptr);
-  fixture.pass(40);
+  fixture.advance(40);
   ASSERT_NE(fixture.endOf(request), nullptr);
   EXPECT_EQ(fixture.endOf(request)->outcome, JobOutcome::Moved);
   EXPECT_EQ(fixture.endOf(request)->done, std::vector<TaskIndex>{ 1 });
-  ASSERT_EQ(fixture.endOf(request)->underWay.size(), 1u);
-  EXPECT_EQ(fixture.endOf(request)->underWay[0].worker, WorkerId("w1"));
-  EXPECT_EQ(fixture.running(), 0u);
+  ASSERT_EQ(fixture.endOf(request)->activeTasks.size(), 1u);
+  EXPECT_EQ(fixture.endOf(request)->activeTasks[0].worker, WorkerId("w1"));
+  EXPECT_EQ(fixture.totalRuns(), 0u);
 }
 
 TEST_F(SubmitterContact, LeasesExpireInTimeForALostSubmitterEvenIfNoStopArrives)
 {
   submit(job(2));
   loseContact();
-  fixture.pass(820);
-  ASSERT_EQ(fixture.running(), 2u);
-  fixture.isStopLost = true;
-  fixture.pass(440);
-  EXPECT_EQ(fixture.running(), 0u);
+  fixture.advance(820);
+  ASSERT_EQ(fixture.totalRuns(), 2u);
+  fixture.areStopsLost = true;
+  fixture.advance(440);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
 }
 
 TEST_F(SubmitterContact, AMessageFromALostSubmitterRenewsNoLease)
 {
   submit(job(1));
   loseContact();
-  fixture.pass(400);
-  fixture.isStopLost = true;
-  fixture.scheduler.daemonLost(gateway, false, fixture.now);
-  fixture.pass(100);
-  ASSERT_EQ(fixture.running(), 1u);
+  fixture.advance(400);
+  fixture.areStopsLost = true;
+  fixture.scheduler.peerLost(gateway, false, fixture.now);
+  fixture.advance(100);
+  ASSERT_EQ(fixture.totalRuns(), 1u);
   fixture.lastContacts.clear();
-  fixture.pass(760);
-  EXPECT_EQ(fixture.running(), 0u);
+  fixture.advance(760);
+  EXPECT_EQ(fixture.totalRuns(), 0u);
 }
 
 TEST_F(SubmitterContact, AReconnectedSubmitterKeepsItsRuns)
 {
   const JobRequest request = job(1);
   submit(request);
-  fixture.pass(1000);
-  ASSERT_EQ(fixture.running(), 1u);
-  fixture.scheduler.daemonLost(gateway, false, fixture.now);
+  fixture.advance(1000);
+  ASSERT_EQ(fixture.totalRuns(), 1u);
+  fixture.scheduler.peerLost(gateway, false, fixture.now);
   fixture.lastContacts[gateway] = TimePoint{};
-  fixture.pass(20);
+  fixture.advance(20);
   JobRequest again = job(1);
   again.previousPart = request.key.part();
   again.mayHaveRun = true;
   submit(again);
-  fixture.pass(60);
+  fixture.advance(60);
   EXPECT_EQ(fixture.endOf(again), nullptr);
   fixture.lastContacts[gateway] = fixture.now;
   fixture.scheduler.contactRenewed(fixture.now);
-  fixture.pass(60);
-  EXPECT_EQ(fixture.running(), 1u);
+  fixture.advance(60);
+  EXPECT_EQ(fixture.totalRuns(), 1u);
 }
 
 TEST_F(SubmitterContact, AJobThatWaitsForContactIsNotReturnedForLackOfRoom)
 {
-  fixture.scheduler.setPeerPlaces(VmId("other"), ShardId(ZoneName("z2"), 0), 5);
+  fixture.scheduler.setPeerSlots(VmId("other"), ShardId(ZoneName("z2"), 0), 5);
   loseContact();
   fixture.now += milliseconds(800);
   submit(job(1));
@@ -139,15 +139,15 @@
 
 TEST_F(SubmitterContact, NothingIsStartedOnAWorkerNotAdvertisedToTheSubmitter)
 {
-  fixture.toldUntil[gateway] = fixture.now;
+  fixture.advertisedUntil[gateway] = fixture.now;
   fixture.now += milliseconds(10);
   fixture.addWorker("w2");
   fixture.settle();
   submit(job(4));
-  EXPECT_EQ(fixture.running(), 2u);
+  EXPECT_EQ(fixture.totalRuns(), 2u);
   EXPECT_EQ(fixture.workers[WorkerId("w2")].runCount(), 0u);
-  fixture.toldUntil[gateway] = fixture.now;
-  fixture.pass(20);
+  fixture.advertisedUntil[gateway] = fixture.now;
+  fixture.advance(20);
   EXPECT_EQ(fixture.workers[WorkerId("w2")].runCount(), 2u);
 }
 
@@ -156,11 +156,12 @@
   const Scheduler::Settings settings;
   const auto& lease = settings.pool.lease;
   const auto clockError = std::chrono::duration_cast<Duration>(
-    lease.leaseTime * (lease.slowestClock - 1));
-  EXPECT_LE(settings.startContactLimit + lease.leaseTime, wantedRunLimit);
-  EXPECT_LT(settings.maxContactAge, wantedRunLimit);
-  EXPECT_LT(wantedRunLimit + clockError, lostRunLimit);
-  EXPECT_LT(wantedRunLimit + 2 * clockError, milliseconds(1300));
+    lease.leaseDuration * (lease.maxClockDriftFactor - 1));
+  EXPECT_LE(settings.maxContactAgeForStart + lease.leaseDuration,
+            maxRunAfterContact);
+  EXPECT_LT(settings.maxContactAge, maxRunAfterContact);
+  EXPECT_LT(maxRunAfterContact + clockError, maxOrphanedRun);
+  EXPECT_LT(maxRunAfterContact + 2 * clockError, milliseconds(1300));
 }
 
 } // namespace
--- a/tests/peers/peercodec_test.cpp
+++ b/tests/peers/peercodec_test.cpp
@@ -48,7 +48,7 @@
                 { { { 2, WorkerId("w1") }, { 5, {} } } } };
   request.previousPart = 76;
   request.mayHaveRun = true;
-  request.mayBeReturned = false;
+  request.allowsReturn = false;
   request.exclusiveFor = std::chrono::milliseconds(1100);
   return request;
 }
@@ -77,13 +77,14 @@
   EXPECT_EQ(read.age, sent.age);
   EXPECT_EQ(read.timeLeft, sent.timeLeft);
   ASSERT_TRUE(read.quarantine);
-  EXPECT_EQ(read.quarantine->lastHolders, sent.quarantine->lastHolders);
-  EXPECT_EQ(read.quarantine->age, sent.quarantine->age);
-  EXPECT_EQ(read.quarantine->remaining, sent.quarantine->remaining);
-  EXPECT_EQ(read.quarantine->underWay, sent.quarantine->underWay);
+  EXPECT_EQ(read.quarantine->lostHoldersWorkers,
+            sent.quarantine->lostHoldersWorkers);
+  EXPECT_EQ(read.quarantine->sinceLoss, sent.quarantine->sinceLoss);
+  EXPECT_EQ(read.quarantine->timeRemaining, sent.quarantine->timeRemaining);
+  EXPECT_EQ(read.quarantine->activeTasks, sent.quarantine->activeTasks);
   EXPECT_EQ(read.previousPart, sent.previousPart);
   EXPECT_EQ(read.mayHaveRun, sent.mayHaveRun);
-  EXPECT_EQ(read.mayBeReturned, sent.mayBeReturned);
+  EXPECT_EQ(read.allowsReturn, sent.allowsReturn);
   EXPECT_EQ(read.exclusiveFor, sent.exclusiveFor);
 }
 
@@ -110,16 +111,16 @@
 TEST(PeerCodec, CarriesAQuarantineThatNoWorkersCanEnd)
 {
   JobRequest sent = request();
-  sent.quarantine->lastHolders.reset();
+  sent.quarantine->lostHoldersWorkers.reset();
   const JobRequest read = roundTrip(PeerSubmit{ sent }).request;
   ASSERT_TRUE(read.quarantine);
-  EXPECT_FALSE(read.quarantine->lastHolders);
-  EXPECT_EQ(read.quarantine->remaining, sent.quarantine->remaining);
+  EXPECT_FALSE(read.quarantine->lostHoldersWorkers);
+  EXPECT_EQ(read.quarantine->timeRemaining, sent.quarantine->timeRemaining);
 }
 
 TEST(PeerCodec, CarriesAcknowledgementsOfHeartbeats)
 {
-  const PeerBeatAck ack{ 1200300400500, 1200300400600 };
+  const PeerHeartbeatAck ack{ 1200300400500, 1200300400600 };
   EXPECT_EQ(roundTrip(ack), ack);
   const Duration age = std::chrono::milliseconds(90);
   const PeerSubmit submit = roundTrip(PeerSubmit{ request(), ack, age });
@@ -132,15 +133,16 @@
 TEST(PeerCodec, CarriesKeepsRecallsAndTheirAnswers)
 {
   const JobKey key(VmId("vm-1"), JobId("j"), 4);
-  EXPECT_EQ(roundTrip(PeerKeep{ key }).key, key);
+  EXPECT_EQ(roundTrip(PeerJobAdvertised{ key }).key, key);
   const auto recall =
     roundTrip(PeerRecall{ JobId("j"), std::chrono::milliseconds(7) });
   EXPECT_EQ(recall.job, JobId("j"));
   EXPECT_EQ(recall.age, std::chrono::milliseconds(7));
-  const Duration overIn = std::chrono::milliseconds(1270);
-  const PeerRecalled read = roundTrip(PeerRecalled{ JobId("j"), overIn });
+  const Duration endedWithin = std::chrono::milliseconds(1270);
+  const PeerRecallAck read =
+    roundTrip(PeerRecallAck{ JobId("j"), endedWithin });
   EXPECT_EQ(read.job, JobId("j"));
-  EXPECT_EQ(read.overIn, overIn);
+  EXPECT_EQ(read.endedWithin, endedWithin);
 }
 
 TEST(PeerCodec, CarriesStartsThatWorkersDidNotAnswer)
@@ -154,7 +156,7 @@
 
 TEST(PeerCodec, CarriesChangesOfWorkers)
 {
-  const PeerWorkerNews news{ 7, 9, { { "w1", "{}" }, { "w2", "" } } };
+  const PeerWorkerChanges news{ 7, 9, { { "w1", "{}" }, { "w2", "" } } };
   EXPECT_EQ(roundTrip(news), news);
 }
 
@@ -165,42 +167,42 @@
   hello.incarnation = Incarnation("17");
   hello.zone = ZoneName("z1");
   hello.address = Address("10.0.0.1", 7720);
-  hello.known = { Address("10.0.0.2", 7720) };
+  hello.knownAddresses = { Address("10.0.0.2", 7720) };
   const PeerHello readHello = roundTrip(hello);
   EXPECT_EQ(readHello.vm, hello.vm);
   EXPECT_EQ(readHello.incarnation, hello.incarnation);
   EXPECT_EQ(readHello.zone, hello.zone);
   EXPECT_EQ(readHello.address, hello.address);
-  EXPECT_EQ(readHello.known, hello.known);
+  EXPECT_EQ(readHello.knownAddresses, hello.knownAddresses);
 
-  PeerBeat beat;
+  PeerHeartbeat beat;
   beat.isLeaving = true;
   beat.isReady = true;
-  beat.isStrained = true;
+  beat.isCpuStarved = true;
   beat.slowness = 9;
-  beat.isNew = true;
-  beat.carried = 9;
+  beat.hasJustStarted = true;
+  beat.workerCapacity = 9;
   beat.shards[ShardId(ZoneName("z1"), 0)] = { 300243599585797, 12, 77 };
   beat.highestToken = 300243599585799;
   beat.configVersion = 40;
   beat.evacuations = { 12, { ZoneName("z1"), ZoneName("z3") } };
   beat.sentAt = 1200300400500;
-  beat.longJobs = { { JobId("j"), std::chrono::milliseconds(700) },
-                    { JobId("given-up"), Duration::zero() } };
-  beat.asksAck = true;
-  const PeerBeat readBeat = roundTrip(beat);
+  beat.longRunningJobs = { { JobId("j"), std::chrono::milliseconds(700) },
+                           { JobId("given-up"), Duration::zero() } };
+  beat.isAckRequested = true;
+  const PeerHeartbeat readBeat = roundTrip(beat);
   EXPECT_EQ(readBeat.evacuations, beat.evacuations);
   EXPECT_EQ(readBeat.sentAt, beat.sentAt);
-  EXPECT_EQ(readBeat.longJobs, beat.longJobs);
-  EXPECT_EQ(readBeat.asksAck, beat.asksAck);
+  EXPECT_EQ(readBeat.longRunningJobs, beat.longRunningJobs);
+  EXPECT_EQ(readBeat.isAckRequested, beat.isAckRequested);
   EXPECT_EQ(readBeat.isLeaving, beat.isLeaving);
   EXPECT_EQ(readBeat.isReady, beat.isReady);
   EXPECT_EQ(readBeat.shards, beat.shards);
   EXPECT_EQ(readBeat.highestToken, beat.highestToken);
-  EXPECT_EQ(readBeat.isStrained, beat.isStrained);
+  EXPECT_EQ(readBeat.isCpuStarved, beat.isCpuStarved);
   EXPECT_EQ(readBeat.slowness, beat.slowness);
-  EXPECT_EQ(readBeat.isNew, beat.isNew);
-  EXPECT_EQ(readBeat.carried, beat.carried);
+  EXPECT_EQ(readBeat.hasJustStarted, beat.hasJustStarted);
+  EXPECT_EQ(readBeat.workerCapacity, beat.workerCapacity);
   EXPECT_EQ(readBeat.configVersion, beat.configVersion);
 }
 
@@ -212,14 +214,14 @@
   ended.end.retryAfter = std::chrono::milliseconds(250);
   ended.end.done = { 1, 3 };
   ended.end.nextRun = 11;
-  ended.end.underWay = { { 2, WorkerId("w1") }, { 5, WorkerId() } };
+  ended.end.activeTasks = { { 2, WorkerId("w1") }, { 5, WorkerId() } };
   const PeerJobEnd readEnd = roundTrip(ended);
   EXPECT_EQ(readEnd.key, key);
   EXPECT_EQ(readEnd.end.outcome, ended.end.outcome);
   EXPECT_EQ(readEnd.end.retryAfter, ended.end.retryAfter);
   EXPECT_EQ(readEnd.end.done, ended.end.done);
   EXPECT_EQ(readEnd.end.nextRun, ended.end.nextRun);
-  EXPECT_EQ(readEnd.end.underWay, ended.end.underWay);
+  EXPECT_EQ(readEnd.end.activeTasks, ended.end.activeTasks);
 
   PeerTasksReturned back{ key, {} };
   back.returned.tasks = { 2 };
@@ -233,7 +235,7 @@
   EXPECT_EQ(readBack.returned.nextRun, back.returned.nextRun);
 
   const std::vector<Address> known{ Address("10.0.0.3", 7720) };
-  EXPECT_EQ(roundTrip(PeerAddresses{ known }).known, known);
+  EXPECT_EQ(roundTrip(PeerAddresses{ known }).addresses, known);
   EXPECT_EQ(roundTrip(PeerCancel{ key }).key, key);
 }
 
@@ -285,14 +287,15 @@
 TEST(PeerCodec, ATruncatedMessageIsAProblem)
 {
   const JobId job("j");
-  PeerBeat beat;
-  beat.longJobs = { { job, std::chrono::milliseconds(700) } };
+  PeerHeartbeat beat;
+  beat.longRunningJobs = { { job, std::chrono::milliseconds(700) } };
   expectTruncationsAreProblems(PeerSubmit{ request() });
   expectTruncationsAreProblems(beat);
-  expectTruncationsAreProblems(PeerKeep{ JobKey(VmId("vm-1"), job, 4) });
+  expectTruncationsAreProblems(
+    PeerJobAdvertised{ JobKey(VmId("vm-1"), job, 4) });
   expectTruncationsAreProblems(PeerRecall{ job });
   expectTruncationsAreProblems(
-    PeerRecalled{ job, std::chrono::milliseconds(9) });
+    PeerRecallAck{ job, std::chrono::milliseconds(9) });
 }
 
 /// Guards against a missing field that is read as zero: a recalled job would
@@ -302,10 +305,10 @@
   const JobId job("j");
   const std::vector<PeerMessage> messages = {
     PeerSubmit{ request() },
-    PeerBeat(),
-    PeerKeep{ JobKey(VmId("vm-1"), job, 4) },
+    PeerHeartbeat(),
+    PeerJobAdvertised{ JobKey(VmId("vm-1"), job, 4) },
     PeerRecall{ job },
-    PeerRecalled{ job, std::chrono::milliseconds(9) },
+    PeerRecallAck{ job, std::chrono::milliseconds(9) },
   };
   for (const PeerMessage& message : messages) {
     const auto bytes = encodePeerMessage(message);
--- a/tests/peers/peerlinks_test.cpp
+++ b/tests/peers/peerlinks_test.cpp
@@ -23,12 +23,12 @@
 }
 
 /// Connections of several daemons over loopback, all on one thread.
-class PeerLinksTest : public ::testing::Test
+class PeerConnectionsTest : public ::testing::Test
 {
 protected:
   struct Node
   {
-    std::unique_ptr<PeerLinks> links;
+    std::unique_ptr<PeerConnections> links;
     unsigned ups = 0;
     unsigned downs = 0;
   };
@@ -38,7 +38,7 @@
     return { "127.0.0." + std::to_string(number), m_port };
   }
 
-  Node& add(unsigned number, const PeerLinks::Settings& settings = {})
+  Node& add(unsigned number, const PeerConnections::Settings& settings = {})
   {
     m_nodes.push_back(std::make_unique<Node>());
     Node& node = *m_nodes.back();
@@ -47,11 +47,12 @@
     hello.incarnation = Incarnation(std::to_string(number));
     hello.zone = ZoneName("z1");
     hello.address = at(number);
-    PeerLinks::Hooks hooks;
-    hooks.up = [&node](const PeerHello&) { ++node.ups; };
-    hooks.down = [&node](const VmId&, PeerLoss) { ++node.downs; };
+    PeerConnections::Hooks hooks;
+    hooks.connected = [&node](const PeerHello&) { ++node.ups; };
+    hooks.disconnected = [&node](const VmId&, PeerLoss) { ++node.downs; };
     hooks.received = [](const VmId&, const PeerMessage&) {};
-    node.links = std::make_unique<PeerLinks>(m_context, hello, settings, hooks);
+    node.links =
+      std::make_unique<PeerConnections>(m_context, hello, settings, hooks);
     EXPECT_EQ(node.links->listen(), std::nullopt);
     return node;
   }
@@ -74,8 +75,8 @@
     m_nextTickAt = steadyNow() + std::chrono::milliseconds(50);
     for (const auto& node : m_nodes) {
       node->links->tick(steadyNow());
-      const auto up = node->links->up();
-      node->links->sendToEach({ up.begin(), up.end() }, PeerBeat());
+      const auto up = node->links->connectedPeers();
+      node->links->sendToEach({ up.begin(), up.end() }, PeerHeartbeat());
     }
   }
 
@@ -87,12 +88,12 @@
 
 /// Guards against lost connections when daemons dial each other at the same
 /// time, as after the loss of all daemons.
-TEST_F(PeerLinksTest, TwoDaemonsThatDialEachOtherAtOnceStayConnected)
+TEST_F(PeerConnectionsTest, TwoDaemonsThatDialEachOtherAtOnceStayConnected)
 {
   Node& first = add(1);
   Node& second = add(2);
-  first.links->addKnown(at(2), steadyNow());
-  second.links->addKnown(at(1), steadyNow());
+  first.links->addAddress(at(2), steadyNow());
+  second.links->addAddress(at(1), steadyNow());
   first.links->tick(steadyNow());
   second.links->tick(steadyNow());
   runUntil([&] { return first.ups > 0 && second.ups > 0; });
@@ -100,38 +101,39 @@
   runUntil([&] { return steadyNow() > over; });
   EXPECT_EQ(first.downs, 0u);
   EXPECT_EQ(second.downs, 0u);
-  EXPECT_TRUE(first.links->isUp(VmId("vm-2")));
-  EXPECT_TRUE(second.links->isUp(VmId("vm-1")));
+  EXPECT_TRUE(first.links->isConnected(VmId("vm-2")));
+  EXPECT_TRUE(second.links->isConnected(VmId("vm-1")));
 }
 
-TEST_F(PeerLinksTest, ANewDaemonLearnsAllAddressesFromOne)
+TEST_F(PeerConnectionsTest, ANewDaemonLearnsAllAddressesFromOne)
 {
   Node& first = add(1);
   Node& second = add(2);
   Node& third = add(3);
-  second.links->addKnown(at(1), steadyNow());
-  third.links->addKnown(at(1), steadyNow());
+  second.links->addAddress(at(1), steadyNow());
+  third.links->addAddress(at(1), steadyNow());
   runUntil([&] {
-    return first.links->up().size() == 2 && second.links->up().size() == 2 &&
-           third.links->up().size() == 2;
+    return first.links->connectedPeers().size() == 2 &&
+           second.links->connectedPeers().size() == 2 &&
+           third.links->connectedPeers().size() == 2;
   });
 }
 
 /// Starts daemons together, each of which may make two connections at a time.
-TEST_F(PeerLinksTest, AGroupThatStartsTogetherConnectsDespiteTheDialLimit)
+TEST_F(PeerConnectionsTest, AGroupThatStartsTogetherConnectsDespiteTheDialLimit)
 {
   constexpr unsigned size = 12;
-  PeerLinks::Settings settings;
+  PeerConnections::Settings settings;
   settings.maxConcurrentDials = 2;
   for (unsigned number = 1; number <= size; ++number)
     add(number, settings);
   for (const auto& node : m_nodes) {
     for (unsigned number = 1; number <= size; ++number)
-      node->links->addKnown(at(number), steadyNow());
+      node->links->addAddress(at(number), steadyNow());
   }
   runUntil([&] {
     return std::all_of(m_nodes.begin(), m_nodes.end(), [](const auto& node) {
-      return node->links->up().size() == size - 1;
+      return node->links->connectedPeers().size() == size - 1;
     });
   });
 }
--- a/tests/platformadapter/records_test.cpp
+++ b/tests/platformadapter/records_test.cpp
@@ -26,7 +26,8 @@
   ASSERT_TRUE(settings) << settings.error().detail();
   EXPECT_EQ(settings->daemon.core.vm, VmId("edge-1"));
   EXPECT_EQ(settings->daemon.core.zone, ZoneName("z1"));
-  EXPECT_EQ(settings->daemon.core.grace, std::chrono::milliseconds(4500));
+  EXPECT_EQ(settings->daemon.core.shutdownGrace,
+            std::chrono::milliseconds(4500));
   EXPECT_EQ(settings->daemon.core.limits, (MachineLimits{ 0.5, 25 }));
   EXPECT_EQ(settings->daemon.peerAddress, Address("10.1.0.13", 7720));
   EXPECT_EQ(settings->daemon.seeds,
@@ -118,7 +119,7 @@
   EXPECT_EQ(worker->id(), WorkerId("i-1"));
   EXPECT_EQ(worker->capacity(), Resources(16000, 32768, 0));
   EXPECT_TRUE(worker->isDraining());
-  EXPECT_FALSE(worker->birth().isKnown());
+  EXPECT_FALSE(worker->bootTime().isKnown());
   EXPECT_FALSE(decodeWorker("i-1", "{}"));
 }
 
@@ -137,7 +138,7 @@
 {
   const auto worker = decodeWorker("i-1", entry);
   ASSERT_TRUE(worker);
-  EXPECT_EQ(worker->birth(), WorkerBirth(1800000000123));
+  EXPECT_EQ(worker->bootTime(), WorkerBootTime(1800000000123));
 }
 
 TEST_P(InvalidWorkerEntry, IsAProblemThatNamesTheField)
--- a/tests/platformadapter/settingswatcher_test.cpp
+++ b/tests/platformadapter/settingswatcher_test.cpp
@@ -38,7 +38,7 @@
       return *file;
     };
     hooks.onChanged = [this](const PlatformSettings& settings) {
-      graces.push_back(settings.daemon.core.grace);
+      graces.push_back(settings.daemon.core.shutdownGrace);
     };
     return hooks;
   }
--- a/tests/platformadapter/workerdirectory_test.cpp
+++ b/tests/platformadapter/workerdirectory_test.cpp
@@ -37,14 +37,14 @@
 TEST_F(WorkerDirectoryTest, AcceptsTheEntryOfARestartedWorker)
 {
   directory.update("w1", entry(6, "10.1.0.10:8080"), now);
-  EXPECT_EQ(worker().birth(), WorkerBirth(6));
+  EXPECT_EQ(worker().bootTime(), WorkerBootTime(6));
   EXPECT_EQ(worker().address(), Address("10.1.0.10", 8080));
 }
 
 TEST_F(WorkerDirectoryTest, IgnoresALateEntryOfAnEarlierProcess)
 {
   directory.update("w1", entry(4, "10.1.0.10:8080"), now + seconds(1));
-  EXPECT_EQ(worker().birth(), WorkerBirth(5));
+  EXPECT_EQ(worker().bootTime(), WorkerBootTime(5));
   EXPECT_EQ(worker().address(), Address("10.1.0.9", 8080));
 }
 
@@ -53,7 +53,7 @@
 {
   for (int i = 0; i < 5; ++i)
     directory.update("w1", entry(4), now + milliseconds(1500 * i));
-  EXPECT_EQ(worker().birth(), WorkerBirth(4))
+  EXPECT_EQ(worker().bootTime(), WorkerBootTime(4))
     << "the worker's clock was set back";
 }
 
@@ -108,7 +108,7 @@
   for (int i = 1; i < 8; ++i)
     directory.update("w1", entry(5), now + seconds(i));
   directory.update("w1", entry(4), now + seconds(8));
-  EXPECT_EQ(worker().birth(), WorkerBirth(5));
+  EXPECT_EQ(worker().bootTime(), WorkerBootTime(5));
 }
 
 TEST_F(WorkerDirectoryTest, ReturnsTheEntriesThatHaveChanged)
@@ -129,7 +129,7 @@
 {
   directory.notePeerRelay(now + seconds(9));
   directory.update("w1", entry(4), now + seconds(10));
-  EXPECT_EQ(worker().birth(), WorkerBirth(5));
+  EXPECT_EQ(worker().bootTime(), WorkerBootTime(5));
 }
 
 TEST_F(WorkerDirectoryTest, AnInvalidEntryRemovesItsWorkerOnly)
@@ -138,7 +138,7 @@
   directory.update("w2", R"({"born":"yesterday"})", now);
   directory.update("w3", "no JSON", now);
   EXPECT_EQ(directory.workers().size(), 1u);
-  EXPECT_EQ(worker().birth(), WorkerBirth(5));
+  EXPECT_EQ(worker().bootTime(), WorkerBootTime(5));
 }
 
 } // namespace
--- a/tests/soak/leasedplatform.cpp
+++ b/tests/soak/leasedplatform.cpp
@@ -149,7 +149,7 @@
   ++worker.life;
   worker.bornMs = firstBirthMs + clockMs();
   worker.fake =
-    std::make_unique<FakeWorker>(-clockMs(), WorkerBirth(worker.bornMs));
+    std::make_unique<FakeWorker>(-clockMs(), WorkerBootTime(worker.bornMs));
   worker.sizes.clear();
   worker.holds.clear();
   publishWorker(worker);
@@ -343,11 +343,11 @@
   const json body = json::parse(request.body());
   WaitingHold hold;
   hold.order.token = body.at("fencing_token").get<FencingToken>();
-  hold.order.acknowledged = body.at("ack_cursor").get<std::uint64_t>();
+  hold.order.acknowledgedEnd = body.at("ack_cursor").get<std::uint64_t>();
   if (body.contains("deadline_ms"))
     hold.order.deadlineMs = body.at("deadline_ms").get<std::int64_t>();
-  hold.order.wait = milliseconds(body.value("wait_ms", 0));
-  hold.until = steadyNow() + hold.order.wait;
+  hold.order.maxWait = milliseconds(body.value("wait_ms", 0));
+  hold.until = steadyNow() + hold.order.maxWait;
   hold.transaction = transaction;
   if (!transaction) {
     worker.fake->hold(hold.order, steadyNow());
@@ -405,12 +405,12 @@
                            const WaitingHold& hold,
                            TimePoint now)
 {
-  const HoldAnswer answer = worker.fake->hold(hold.order, now);
+  const LeaseOrderAnswer answer = worker.fake->hold(hold.order, now);
   if (const auto* failure = std::get_if<OrderFailure>(&answer)) {
     hold.transaction->answer(orderReply(*failure, clockMs()));
     return;
   }
-  const auto& report = std::get<HoldReport>(answer);
+  const auto& report = std::get<WorkerReport>(answer);
   if (report.ended.empty() && now < hold.until) {
     worker.holds.push_back(hold);
     return;
@@ -422,7 +422,7 @@
   json finished = json::array();
   for (const EndedRun& run : report.ended)
     finished.push_back(json::array(
-      { run.number, run.key.task(), run.key.run(), toString(run.end), "" }));
+      { run.sequence, run.key.task(), run.key.run(), toString(run.end), "" }));
   hold.transaction->answer(
     HttpReply::json(200,
                     json{ { "clock_ms", report.clockMs },
--- a/tests/soak/leasedplatform.h
+++ b/tests/soak/leasedplatform.h
@@ -77,7 +77,7 @@
   };
   struct WaitingHold
   {
-    HoldOrder order;
+    LeaseOrder order;
     TimePoint until{};
     Transaction transaction;
   };
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -473,7 +473,7 @@
   Daemon& daemon = chooseDaemon(caller);
   const Duration wait = waitOf(caller);
   note(job + " try " + std::to_string(caller.tries) + " at " + daemon.host);
-  HttpCallOrder order;
+  HttpCallRequest order;
   order.method = "POST";
   order.target = "/jobs/" + job;
   order.headers.emplace_back("X-Cowslippin-Request-Deadline-Ms",
@@ -488,7 +488,7 @@
           { "estimate_ms", caller.taskMs } } } }
   }.dump();
   channelTo(daemon)->call(
-    order, steadyNow() + wait, [this, job](const HttpCallEnd& end) {
+    order, steadyNow() + wait, [this, job](const HttpCallResult& end) {
       answered(job, end);
     });
 }
@@ -504,7 +504,7 @@
   return m_daemons[caller.daemon];
 }
 
-std::shared_ptr<HttpChannel>
+std::shared_ptr<AsyncHttpConnection>
 Soak::channelTo(Daemon& daemon)
 {
   auto& channels = daemon.channels;
@@ -517,7 +517,7 @@
     if (!channel->isBusy())
       return channel;
   }
-  channels.push_back(std::make_shared<HttpChannel>(
+  channels.push_back(std::make_shared<AsyncHttpConnection>(
     m_context,
     Address(daemon.host,
             static_cast<std::uint16_t>(m_settings.firstPort + callerPort)),
@@ -526,7 +526,7 @@
 }
 
 void
-Soak::answered(const std::string& job, const HttpCallEnd& end)
+Soak::answered(const std::string& job, const HttpCallResult& end)
 {
   const auto found = m_callers.find(job);
   if (found == m_callers.end())
@@ -534,7 +534,7 @@
   Caller& caller = found->second;
   note(job + " end " + std::to_string(static_cast<int>(end.kind)) + " status " +
        std::to_string(end.status));
-  const bool isAnswered = end.kind == HttpCallEnd::Kind::Answered;
+  const bool isAnswered = end.kind == HttpCallResult::Kind::Answered;
   if (isAnswered && end.status == 200) {
     if (caller.isCalm)
       ++m_report.calmCompleted;
@@ -546,7 +546,7 @@
   } else if (caller.tries < maxTries) {
     // Nothing was sent, or nothing is known: the same job comes again.
     caller.wasOnlyRefused =
-      caller.wasOnlyRefused && end.kind == HttpCallEnd::Kind::NotSent;
+      caller.wasOnlyRefused && end.kind == HttpCallResult::Kind::NotSent;
     m_resends.emplace_back(steadyNow() + resendAfter, job);
   } else {
     forget(job, m_report.other);
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -109,7 +109,7 @@
     TimePoint isBehindUntil{};
     TimePoint nextPauseAt{};
     /// Callers keep them open until the daemon closes them.
-    std::vector<std::shared_ptr<HttpChannel>> channels;
+    std::vector<std::shared_ptr<AsyncHttpConnection>> channels;
   };
   struct Caller
   {
@@ -167,8 +167,8 @@
   void submit(const std::string& job);
   /// Another one than the last time.
   Daemon& chooseDaemon(Caller& caller);
-  std::shared_ptr<HttpChannel> channelTo(Daemon& daemon);
-  void answered(const std::string& job, const HttpCallEnd& end);
+  std::shared_ptr<AsyncHttpConnection> channelTo(Daemon& daemon);
+  void answered(const std::string& job, const HttpCallResult& end);
   /// A line of this soak's own log, beside those of the daemons.
   void note(const std::string& line);
   /// Again a little later if the system has no descriptors left. Throws
--- a/tests/support/fakeworker.h
+++ b/tests/support/fakeworker.h
@@ -17,23 +17,24 @@
 {
 public:
   explicit FakeWorker(std::int64_t clockOffsetMs = 50000,
-                      WorkerBirth birth = {})
+                      WorkerBootTime bootTime = {})
     : m_offset(clockOffsetMs)
-    , m_birth(birth)
+    , m_bootTime(bootTime)
   {
   }
 
-  HoldAnswer hold(const HoldOrder& order, TimePoint now)
+  LeaseOrderAnswer hold(const LeaseOrder& order, TimePoint now)
   {
     lapse(now);
     if (!admit(order.token))
       return OrderFailure::Fenced;
     if (order.deadlineMs)
       extend(*order.deadlineMs);
-    while (!m_ended.empty() && m_ended.front().number <= order.acknowledged)
+    while (!m_ended.empty() &&
+           m_ended.front().sequence <= order.acknowledgedEnd)
       m_ended.erase(m_ended.begin());
-    HoldReport report;
-    report.birth = m_birth;
+    WorkerReport report;
+    report.bootTime = m_bootTime;
     report.clockMs = clockMs(now);
     for (const auto& [key, percent] : m_running)
       report.active.push_back({ key, percent });
@@ -87,7 +88,7 @@
       return;
     const auto running = m_running;
     for (const auto& [key, percent] : running)
-      end(key, RunEnd::Lapsed);
+      end(key, RunEnd::Expired);
   }
 
   /// Whether it lists an end.
@@ -143,7 +144,7 @@
   }
 
   std::int64_t m_offset;
-  WorkerBirth m_birth;
+  WorkerBootTime m_bootTime;
   FencingToken m_token = 0;
   std::int64_t m_deadlineMs = 0;
   std::map<RunKey, int> m_running;
--- a/tests/workers/answertimes_test.cpp
+++ b/tests/workers/answertimes_test.cpp
@@ -7,10 +7,10 @@
 
 using std::chrono::milliseconds;
 
-class AnswerTimesTest : public ::testing::Test
+class OrderTimeoutsTest : public ::testing::Test
 {
 protected:
-  AnswerTimesTest()
+  OrderTimeoutsTest()
     : times(settings)
   {
   }
@@ -21,19 +21,19 @@
       times.addAnswerTime(time);
   }
 
-  const AnswerTimes::Settings settings;
-  AnswerTimes times;
+  const OrderTimeouts::Settings settings;
+  OrderTimeouts times;
   TimePoint now{ std::chrono::seconds(100) };
 };
 
-TEST_F(AnswerTimesTest, UsesTheMaximumTimeoutUntilEnoughAnswersAreReceived)
+TEST_F(OrderTimeoutsTest, UsesTheMaximumTimeoutUntilEnoughAnswersAreReceived)
 {
   EXPECT_EQ(times.answerTimeout(), settings.maxAnswerTimeout);
   answerAll(milliseconds(2));
   EXPECT_EQ(times.answerTimeout(), settings.minAnswerTimeout);
 }
 
-TEST_F(AnswerTimesTest, TimeoutFollowsAnswerTimesAndTheirDeviation)
+TEST_F(OrderTimeoutsTest, TimeoutFollowsAnswerTimesAndTheirDeviation)
 {
   answerAll(milliseconds(40));
   EXPECT_GE(times.answerTimeout(), milliseconds(40));
@@ -46,7 +46,7 @@
   EXPECT_EQ(times.answerTimeout(), settings.maxAnswerTimeout);
 }
 
-TEST_F(AnswerTimesTest, RequestsReportsMoreOftenWhileOrdersAreLost)
+TEST_F(OrderTimeoutsTest, RequestsReportsMoreOftenWhileOrdersAreLost)
 {
   times.addUnanswered(now);
   times.addUnanswered(now);
--- a/tests/workers/leasefixture.h
+++ b/tests/workers/leasefixture.h
@@ -37,16 +37,16 @@
   }
 
   explicit LeaseFixture(const WorkerLease::Settings& settings)
-    : times(std::make_shared<AnswerTimes>(AnswerTimes::Settings()))
+    : times(std::make_shared<OrderTimeouts>(OrderTimeouts::Settings()))
     , lease(record(), settings, hooks(), times, now)
   {
   }
 
-  static WorkerRecord record(WorkerBirth birth = {})
+  static WorkerRecord record(WorkerBootTime bootTime = {})
   {
     WorkerRecord::Fields fields;
     fields.id = WorkerId("w1");
-    fields.birth = birth;
+    fields.bootTime = bootTime;
     fields.service = ServiceName("booking");
     fields.zone = ZoneName("z1");
     fields.capacity = Resources(16000, 1000, 0);
@@ -83,7 +83,7 @@
     const auto sinceStart =
       std::chrono::duration_cast<std::chrono::milliseconds>(
         now.time_since_epoch());
-    worker = FakeWorker(-sinceStart.count(), WorkerBirth(birthMs));
+    worker = FakeWorker(-sinceStart.count(), WorkerBootTime(birthMs));
   }
 
   void advance(int milliseconds)
@@ -93,7 +93,7 @@
   }
 
   TimePoint now{ std::chrono::seconds(1000) };
-  FakeWorker worker{ 50000, WorkerBirth(1) };
+  FakeWorker worker{ 50000, WorkerBootTime(1) };
   std::deque<std::function<void(Delivery)>> orders;
   /// Orders that were delivered as `Late`.
   std::vector<std::function<void()>> lateOrders;
@@ -107,33 +107,33 @@
   std::vector<std::pair<RunKey, RunEnd>> endedOrphans;
   std::vector<RunKey> stoppedOrphans;
   std::vector<StopFailed> failedStops;
-  std::vector<UnwantedRenewal> unwantedRenewals;
-  std::vector<LeaseLapsed> expiries;
+  std::vector<EndingRunRenewed> unwantedRenewals;
+  std::vector<LeaseExpired> expiries;
   std::vector<LeaseState> states;
   /// Until when each run is wanted; without limit for a run that isn't listed
   /// here.
-  std::map<RunKey, TimePoint> wantedUntil;
+  std::map<RunKey, TimePoint> runWantedUntil;
   /// Runs that nobody wants any more.
   std::set<RunKey> unwanted;
   /// Whether every stop is lost, however it is delivered.
-  bool isStopLost = false;
-  std::shared_ptr<AnswerTimes> times;
+  bool areStopsLost = false;
+  std::shared_ptr<OrderTimeouts> times;
   WorkerLease lease;
 
 private:
   WorkerLease::Hooks hooks()
   {
     WorkerLease::Hooks hooks;
-    hooks.sendHold = [this](const HoldOrder& order, Duration) {
-      const SentHold sent{ order.token, now };
+    hooks.sendLeaseOrder = [this](const LeaseOrder& order, Duration) {
+      const SentLeaseOrder sent{ order.token, now };
       orders.push_back([this, order, sent](Delivery delivery) {
         const auto carryOut = [this, order] { return worker.hold(order, now); };
-        HoldAnswer answer = OrderFailure::Unanswered;
+        LeaseOrderAnswer answer = OrderFailure::Unanswered;
         if (delivery == Delivery::Normal)
           answer = carryOut();
         else
           carryOutUnanswered(delivery, carryOut);
-        lease.holdAnswered(sent, answer, now);
+        lease.leaseOrderAnswered(sent, answer, now);
       });
     };
     hooks.sendStart = [this](const StartOrder& order, Duration) {
@@ -151,7 +151,7 @@
     };
     hooks.sendStop = [this](const StopOrder& order, Duration) {
       orders.push_back([this, order](Delivery asked) {
-        const Delivery delivery = isStopLost ? Delivery::Lost : asked;
+        const Delivery delivery = areStopsLost ? Delivery::Lost : asked;
         const auto carryOut = [this, order] { return worker.stop(order, now); };
         OrderAnswer answer = OrderFailure::Unanswered;
         if (delivery == Delivery::Normal)
@@ -164,34 +164,35 @@
     hooks.runEnded = [this](const RunKey& key, RunEnd end) {
       ended.emplace_back(key, end);
     };
-    hooks.startUnresolved = [this](const RunKey& key, TimePoint) {
+    hooks.unresolvedStartFound = [this](const RunKey& key, TimePoint) {
       unresolved.push_back(key);
     };
     hooks.mayResend = [this](const RunKey&) { return mayResend; };
     hooks.startRejected = [this](const RunKey& key, OrderFailure failure) {
       rejected.emplace_back(key, failure);
     };
-    hooks.runActive = [](const RunKey&, int) {};
-    hooks.strayFound = [this](const RunKey& key) { orphans.push_back(key); };
-    hooks.strayEnded = [this](const RunKey& key, RunEnd end) {
+    hooks.runProgressed = [](const RunKey&, int) {};
+    hooks.orphanFound = [this](const RunKey& key) { orphans.push_back(key); };
+    hooks.orphanEnded = [this](const RunKey& key, RunEnd end) {
       endedOrphans.emplace_back(key, end);
     };
-    hooks.strayStopped = [this](const auto& note) {
+    hooks.orphanStopped = [this](const auto& note) {
       stoppedOrphans.push_back(note.key);
     };
     hooks.stopFailed = [this](const auto& note) {
       failedStops.push_back(note);
     };
-    hooks.unwantedRenewal = [this](const auto& note) {
+    hooks.endingRunRenewed = [this](const auto& note) {
       unwantedRenewals.push_back(note);
     };
-    hooks.lapsed = [this](const auto& note) { expiries.push_back(note); };
+    hooks.expired = [this](const auto& note) { expiries.push_back(note); };
     hooks.stateChanged = [this](LeaseState state) { states.push_back(state); };
-    hooks.wantedUntil = [this](const RunKey& key) -> std::optional<TimePoint> {
+    hooks.runWantedUntil =
+      [this](const RunKey& key) -> std::optional<TimePoint> {
       if (unwanted.count(key) > 0)
         return std::nullopt;
-      const auto found = wantedUntil.find(key);
-      return found == wantedUntil.end() ? TimePoint::max() : found->second;
+      const auto found = runWantedUntil.find(key);
+      return found == runWantedUntil.end() ? TimePoint::max() : found->second;
     };
     return hooks;
   }
--- a/tests/workers/leasenotes_test.cpp
+++ b/tests/workers/leasenotes_test.cpp
@@ -7,7 +7,7 @@
 
 const RunKey run("a.0.0.0", 1);
 
-class LeaseNotesTest : public ::testing::Test
+class LeaseEventsTest : public ::testing::Test
 {
 protected:
   void advance(int milliseconds)
@@ -28,7 +28,7 @@
 };
 
 /// Guards against renewals of a run that is to end without anybody noticing.
-TEST_F(LeaseNotesTest, ReportsOnceARenewalOfARunWhoseStopsAreLost)
+TEST_F(LeaseEventsTest, ReportsOnceARenewalOfARunWhoseStopsAreLost)
 {
   fixture.claim();
   fixture.start(run);
@@ -40,13 +40,13 @@
   }
   ASSERT_EQ(fixture.unwantedRenewals.size(), 1u);
   EXPECT_EQ(fixture.unwantedRenewals[0].key, run);
-  EXPECT_FALSE(fixture.unwantedRenewals[0].isStray);
+  EXPECT_FALSE(fixture.unwantedRenewals[0].isOrphaned);
   EXPECT_GT(fixture.unwantedRenewals[0].age, Duration::zero());
 }
 
 /// Guards against a log line for each stop: a report request, which renews the
 /// lease, follows every stop.
-TEST_F(LeaseNotesTest, DoesNotReportARenewalAfterAnAnsweredStop)
+TEST_F(LeaseEventsTest, DoesNotReportARenewalAfterAnAnsweredStop)
 {
   fixture.claim();
   fixture.start(run);
@@ -60,7 +60,7 @@
   EXPECT_TRUE(fixture.unwantedRenewals.empty());
 }
 
-TEST_F(LeaseNotesTest, ReportsEachUnansweredStop)
+TEST_F(LeaseEventsTest, ReportsEachUnansweredStop)
 {
   fixture.claim();
   fixture.start(run);
@@ -69,10 +69,10 @@
   fixture.deliver(Delivery::Lost);
   ASSERT_EQ(fixture.failedStops.size(), 1u);
   EXPECT_EQ(fixture.failedStops[0].failure, OrderFailure::Unanswered);
-  EXPECT_EQ(fixture.failedStops[0].sent, 1u);
+  EXPECT_EQ(fixture.failedStops[0].attempts, 1u);
 }
 
-TEST_F(LeaseNotesTest, ReportsThatAnOrphanedRunIsStopped)
+TEST_F(LeaseEventsTest, ReportsThatAnOrphanedRunIsStopped)
 {
   fixture.worker.start({ 5, run, "spec", 60'000'000 }, fixture.now);
   fixture.claim();
@@ -84,7 +84,7 @@
   EXPECT_EQ(fixture.stoppedOrphans[0], run);
 }
 
-TEST_F(LeaseNotesTest, ReportsAllRunsOfTheWorkerWhenItsLeaseExpires)
+TEST_F(LeaseEventsTest, ReportsAllRunsOfTheWorkerWhenItsLeaseExpires)
 {
   fixture.claim();
   fixture.start(run);
@@ -96,7 +96,8 @@
   }
   ASSERT_EQ(fixture.expiries.size(), 1u);
   EXPECT_EQ(fixture.expiries[0].runs.size(), 2u);
-  EXPECT_GT(fixture.expiries[0].sinceReport, std::chrono::milliseconds(750));
+  EXPECT_GT(fixture.expiries[0].sinceLastReport,
+            std::chrono::milliseconds(750));
 }
 
 } // namespace
--- a/tests/workers/lifetracker_test.cpp
+++ b/tests/workers/lifetracker_test.cpp
@@ -8,8 +8,8 @@
 using std::chrono::milliseconds;
 
 const TimePoint start{ std::chrono::seconds(1000) };
-const WorkerBirth first(1800000000000);
-const WorkerBirth second(1800000005000);
+const WorkerBootTime first(1800000000000);
+const WorkerBootTime second(1800000005000);
 
 TEST(IncarnationTracker, AWorkerWithoutABootTimeHasOneIncarnation)
 {
--- a/tests/workers/restartedworker_test.cpp
+++ b/tests/workers/restartedworker_test.cpp
@@ -31,7 +31,7 @@
   /// Receives a report, which may be from the next incarnation.
   void receiveReport()
   {
-    fixture.lease.holdAnswered(
+    fixture.lease.leaseOrderAnswered(
       { fixture.lease.token(), fixture.now },
       fixture.worker.hold({ fixture.lease.token(), std::nullopt, 0, {} },
                           fixture.now),
@@ -87,10 +87,10 @@
 TEST_F(RestartedWorker, IsDetectedByThePlatformsListToo)
 {
   start(run1);
-  fixture.lease.setRecord(LeaseFixture::record(WorkerBirth(1)), fixture.now);
+  fixture.lease.setRecord(LeaseFixture::record(WorkerBootTime(1)), fixture.now);
   EXPECT_TRUE(fixture.ended.empty());
   fixture.restart(2);
-  fixture.lease.setRecord(LeaseFixture::record(WorkerBirth(2)), fixture.now);
+  fixture.lease.setRecord(LeaseFixture::record(WorkerBootTime(2)), fixture.now);
   ASSERT_EQ(fixture.ended.size(), 1u);
   EXPECT_EQ(fixture.lease.state(), LeaseState::Restarted);
 }
@@ -185,15 +185,15 @@
 {
   fixture.start(run1);
   fixture.deliver(Delivery::Normal, 1);
-  const SentHold sent{ fixture.lease.token(), fixture.now };
-  const HoldAnswer old =
+  const SentLeaseOrder sent{ fixture.lease.token(), fixture.now };
+  const LeaseOrderAnswer old =
     fixture.worker.hold({ sent.token, std::nullopt, 0, {} }, fixture.now);
   fixture.now += std::chrono::milliseconds(5);
   fixture.restart(2);
-  fixture.lease.setRecord(LeaseFixture::record(WorkerBirth(2)), fixture.now);
+  fixture.lease.setRecord(LeaseFixture::record(WorkerBootTime(2)), fixture.now);
   fixture.claim(20);
-  fixture.lease.holdAnswered(
-    { fixture.lease.token(), sent.at }, old, fixture.now);
+  fixture.lease.leaseOrderAnswered(
+    { fixture.lease.token(), sent.sentAt }, old, fixture.now);
   EXPECT_TRUE(fixture.orphans.empty());
   EXPECT_TRUE(fixture.lease.isIdle());
 }
@@ -214,7 +214,7 @@
     }
   }
   ASSERT_EQ(fixture.ended.size(), 1u);
-  EXPECT_EQ(fixture.ended[0].second, RunEnd::Lapsed);
+  EXPECT_EQ(fixture.ended[0].second, RunEnd::Expired);
 }
 
 /// Guards against exceeding the capacity of a new incarnation that carries out
@@ -238,9 +238,9 @@
   EXPECT_TRUE(fixture.lease.isSafeToStart(Resources(4000, 10, 0), fixture.now));
   receiveReport();
   EXPECT_TRUE(fixture.lease.isSafeToStart(large, fixture.now));
-  const SentHold sent{ fixture.lease.token(), fixture.now };
+  const SentLeaseOrder sent{ fixture.lease.token(), fixture.now };
   fixture.now += std::chrono::milliseconds(20);
-  fixture.lease.holdAnswered(
+  fixture.lease.leaseOrderAnswered(
     sent,
     fixture.worker.hold({ sent.token, std::nullopt, 0, {} }, fixture.now),
     fixture.now);
--- a/tests/workers/wantedruns_test.cpp
+++ b/tests/workers/wantedruns_test.cpp
@@ -35,7 +35,7 @@
 {
   LeaseFixture fixture;
   const TimePoint end = fixture.now + milliseconds(1200);
-  fixture.wantedUntil[run1] = end;
+  fixture.runWantedUntil[run1] = end;
   startBoth(fixture);
   advanceAndDeliver(fixture, 1180);
   EXPECT_TRUE(fixture.worker.isRunning(run1));
@@ -46,7 +46,7 @@
 TEST(WantedRuns, ARunThatIsWantedBrieflyGetsAShortLease)
 {
   LeaseFixture fixture;
-  fixture.wantedUntil[run1] = fixture.now + milliseconds(500);
+  fixture.runWantedUntil[run1] = fixture.now + milliseconds(500);
   startBoth(fixture);
   fixture.now += milliseconds(501);
   fixture.worker.lapse(fixture.now);
@@ -56,12 +56,12 @@
 TEST(WantedRuns, ARunWhoseStopIsLostIsNotRenewed)
 {
   LeaseFixture fixture;
-  fixture.wantedUntil[run1] = fixture.now + milliseconds(1200);
+  fixture.runWantedUntil[run1] = fixture.now + milliseconds(1200);
   startBoth(fixture);
   advanceAndDeliver(fixture, 200);
   fixture.lease.stop(run1, fixture.now);
   fixture.unwanted.insert(run1);
-  fixture.isStopLost = true;
+  fixture.areStopsLost = true;
   advanceAndDeliver(fixture, 900);
   EXPECT_TRUE(fixture.worker.isRunning(run1))
     << "the stops of the run are lost";
@@ -94,8 +94,8 @@
 {
   LeaseFixture fixture;
   leaveOrphanedRun(fixture, milliseconds(150));
-  ASSERT_TRUE(fixture.lease.adopt(run1.task(), task));
-  fixture.lease.refresh(fixture.now);
+  ASSERT_TRUE(fixture.lease.adoptOrphan(run1.task(), task));
+  fixture.lease.requestReport(fixture.now);
   fixture.deliver();
   fixture.now += milliseconds(700);
   fixture.worker.lapse(fixture.now);
@@ -106,7 +106,7 @@
 {
   LeaseFixture fixture;
   fixture.claim();
-  fixture.wantedUntil[run1] = fixture.now + milliseconds(400);
+  fixture.runWantedUntil[run1] = fixture.now + milliseconds(400);
   fixture.start(run1);
   fixture.deliver(Delivery::Normal, 2);
   EXPECT_TRUE(fixture.lease.isSafeToStart(task, fixture.now));
@@ -120,7 +120,7 @@
   fixture.claim();
   fixture.now += milliseconds(800);
   const TimePoint begin = fixture.now;
-  fixture.wantedUntil[run1] = begin + milliseconds(400);
+  fixture.runWantedUntil[run1] = begin + milliseconds(400);
   fixture.start(run1);
   fixture.deliver(Delivery::Normal, 2);
   EXPECT_GE(fixture.lease.runsExpireBy(), begin + milliseconds(400));
@@ -151,7 +151,7 @@
     toMilliseconds((fixture.now + milliseconds(720)).time_since_epoch());
   fixture.worker.start({ 5, run2, "spec", end + 50000 }, fixture.now);
   leaveOrphanedRun(fixture, milliseconds(720), 2);
-  ASSERT_TRUE(fixture.lease.adopt(run1.task(), task));
+  ASSERT_TRUE(fixture.lease.adoptOrphan(run1.task(), task));
   expectNoRunEndsEarlyWhileSilent(fixture);
 }
 
@@ -160,9 +160,9 @@
 {
   LeaseFixture fixture;
   leaveOrphanedRun(fixture, milliseconds(720));
-  fixture.wantedUntil[run1] = fixture.now + milliseconds(400);
-  ASSERT_TRUE(fixture.lease.adopt(run1.task(), task));
-  fixture.lease.refresh(fixture.now);
+  fixture.runWantedUntil[run1] = fixture.now + milliseconds(400);
+  ASSERT_TRUE(fixture.lease.adoptOrphan(run1.task(), task));
+  fixture.lease.requestReport(fixture.now);
   fixture.orders.back()(Delivery::Normal);
   fixture.orders.pop_back();
   expectNoRunEndsEarlyWhileSilent(fixture);
--- a/tests/workers/workerhealth_test.cpp
+++ b/tests/workers/workerhealth_test.cpp
@@ -11,7 +11,7 @@
   void fail(int count)
   {
     for (int i = 0; i < count; ++i)
-      health.ended(RunEnd::Failed, 0, now);
+      health.runEnded(RunEnd::Failed, 0, now);
   }
 
   TimePoint now{ std::chrono::seconds(10) };
@@ -47,7 +47,7 @@
 TEST_F(WorkerHealthTest, ASlowWorkerIsExcluded)
 {
   for (int i = 0; i < 3; ++i)
-    health.ended(RunEnd::Done, 6, now);
+    health.runEnded(RunEnd::Done, 6, now);
   EXPECT_FALSE(health.isUsable(0, now));
 }
 
@@ -56,14 +56,14 @@
   fail(3);
   now += std::chrono::milliseconds(900);
   for (int i = 0; i < 4; ++i)
-    health.ended(RunEnd::Done, 1, now);
+    health.runEnded(RunEnd::Done, 1, now);
   EXPECT_TRUE(health.isUsable(2, now));
 }
 
 TEST_F(WorkerHealthTest, StoppedRunsDoNotCount)
 {
   for (int i = 0; i < 10; ++i)
-    health.ended(RunEnd::Stopped, 0, now);
+    health.runEnded(RunEnd::Stopped, 0, now);
   EXPECT_TRUE(health.isUsable(2, now));
 }
 
--- a/tests/workers/workerlease_test.cpp
+++ b/tests/workers/workerlease_test.cpp
@@ -77,15 +77,15 @@
   fixture.orders.clear();
   fixture.start(run1);
   fixture.deliver(Delivery::Normal, 1);
-  const SentHold asked{ fixture.lease.token(), fixture.now };
-  const HoldOrder order{ fixture.lease.token(), std::nullopt, 0, {} };
-  const HoldAnswer older = fixture.worker.hold(order, fixture.now);
+  const SentLeaseOrder asked{ fixture.lease.token(), fixture.now };
+  const LeaseOrder order{ fixture.lease.token(), std::nullopt, 0, {} };
+  const LeaseOrderAnswer older = fixture.worker.hold(order, fixture.now);
   fixture.now += std::chrono::milliseconds(5);
   fixture.worker.end(run1, RunEnd::Done);
-  const HoldAnswer newer = fixture.worker.hold(order, fixture.now);
-  fixture.lease.holdAnswered(asked, newer, fixture.now);
+  const LeaseOrderAnswer newer = fixture.worker.hold(order, fixture.now);
+  fixture.lease.leaseOrderAnswered(asked, newer, fixture.now);
   ASSERT_EQ(fixture.ended.size(), 1u);
-  fixture.lease.holdAnswered(asked, older, fixture.now);
+  fixture.lease.leaseOrderAnswered(asked, older, fixture.now);
   EXPECT_TRUE(fixture.orphans.empty());
   EXPECT_TRUE(fixture.lease.canStart(task));
 }
@@ -113,7 +113,7 @@
   EXPECT_FALSE(fixture.lease.canStart(task));
   fixture.deliver(GetParam().stop, 1);
   // The report request in flight is answered first, then those after it.
-  fixture.lease.holdAnswered(
+  fixture.lease.leaseOrderAnswered(
     { 10, fixture.now },
     fixture.worker.hold({ 10, std::nullopt, 0, {} }, fixture.now),
     fixture.now);
@@ -190,7 +190,7 @@
   ASSERT_EQ(fixture.orphans.size(), 1u);
   EXPECT_FALSE(fixture.lease.canStart(task))
     << "the size of the run isn't known";
-  ASSERT_TRUE(fixture.lease.adopt(run1.task(), Resources(12000, 10, 0)));
+  ASSERT_TRUE(fixture.lease.adoptOrphan(run1.task(), Resources(12000, 10, 0)));
   EXPECT_FALSE(fixture.lease.canStart(task));
   EXPECT_TRUE(fixture.lease.canStart(Resources(4000, 0, 0)));
 }
@@ -226,7 +226,7 @@
   fixture.orders.clear();
   fixture.start(run1);
   fixture.deliver(Delivery::Normal, 1);
-  fixture.lease.holdAnswered(
+  fixture.lease.leaseOrderAnswered(
     { 10, fixture.now }, OrderFailure::Unanswered, fixture.now);
   while (fixture.ended.empty() &&
          fixture.now < fixture.lease.runsExpireBy() + std::chrono::seconds(5)) {
@@ -281,8 +281,8 @@
   LeaseFixture fixture;
   fixture.claim();
   fixture.start(run1);
-  fixture.lease.holdAnswered(
-    { 10, fixture.now }, OrderFailure::OtherLife, fixture.now);
+  fixture.lease.leaseOrderAnswered(
+    { 10, fixture.now }, OrderFailure::OtherIncarnation, fixture.now);
   ASSERT_EQ(fixture.ended.size(), 1u);
   EXPECT_EQ(fixture.ended[0].second, RunEnd::Lost);
   EXPECT_EQ(fixture.lease.state(), LeaseState::Ended);
@@ -305,7 +305,7 @@
   const Duration silenceLimit = std::chrono::milliseconds(450);
   const Duration stopTime = std::chrono::milliseconds(50);
   const auto lease = std::chrono::duration_cast<Duration>(
-    settings.leaseTime * settings.slowestClock);
+    settings.leaseDuration * settings.maxClockDriftFactor);
   EXPECT_LT(silenceLimit + lease + stopTime, std::chrono::milliseconds(1300));
 }
 
