--- a/src/libasynchttp/asynchttp.h
+++ b/src/libasynchttp/asynchttp.h
@@ -1,5 +1,5 @@
 #pragma once
 
+#include "asynchttpconnection.h"
 #include "asynchttpconnectionpool.h"
 #include "asynchttpserver.h"
-#include "httpchannel.h"
--- a/src/libasynchttp/httpchannel.cpp
+++ b/src/libasynchttp/asynchttpconnection.cpp
@@ -1,4 +1,4 @@
-#include "httpchannel.h"
+#include "asynchttpconnection.h"
 
 #include <boost/asio/write.hpp>
 
--- a/src/libasynchttp/asynchttpconnectionpool.h
+++ b/src/libasynchttp/asynchttpconnectionpool.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "httpchannel.h"
+#include "asynchttpconnection.h"
 
 #include <memory>
 #include <vector>
--- a/src/libentry/strainmeter.cpp
+++ b/src/libentry/cpustarvationdetector.cpp
@@ -1,4 +1,4 @@
-#include "strainmeter.h"
+#include "cpustarvationdetector.h"
 
 namespace cowslippin {
 
--- a/src/libentry/tokensource.cpp
+++ b/src/libentry/fencingtokengenerator.cpp
@@ -1,4 +1,4 @@
-#include "tokensource.h"
+#include "fencingtokengenerator.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/libentry/gateway.h
+++ b/src/libentry/gateway.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "holderchoice.h"
-#include "knownjobs.h"
+#include "peerjobs.h"
 
 #include "libjobs/jobs.h"
 #include "libpeers/peermessage.h"
--- a/src/libentry/heartbeatplan.cpp
+++ b/src/libentry/heartbeatschedule.cpp
@@ -1,4 +1,4 @@
-#include "heartbeatplan.h"
+#include "heartbeatschedule.h"
 
 #include <algorithm>
 
--- a/src/libentry/knownjobs.cpp
+++ b/src/libentry/peerjobs.cpp
@@ -1,6 +1,6 @@
-#include "knownjobs.h"
+#include "peerjobs.h"
 
-#include "heartbeatplan.h"
+#include "heartbeatschedule.h"
 
 #include "libjobs/jobs.h"
 
--- a/src/libentry/peercontact.cpp
+++ b/src/libentry/peerliveness.cpp
@@ -1,4 +1,4 @@
-#include "peercontact.h"
+#include "peerliveness.h"
 
 #include <algorithm>
 
--- a/src/libentry/memberlosses.cpp
+++ b/src/libentry/peerlosses.cpp
@@ -1,4 +1,4 @@
-#include "memberlosses.h"
+#include "peerlosses.h"
 
 #include <algorithm>
 
--- a/src/libentry/directoryreaders.cpp
+++ b/src/libentry/workerlistreaders.cpp
@@ -1,4 +1,4 @@
-#include "directoryreaders.h"
+#include "workerlistreaders.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/libjobs/jobs.h
+++ b/src/libjobs/jobs.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "evacuations.h"
+#include "evacuatedzones.h"
 #include "jobend.h"
 #include "jobkey.h"
 #include "jobrequest.h"
@@ -8,6 +8,6 @@
 #include "runtimes.h"
 #include "scheduler.h"
 #include "shardmap.h"
-#include "shardsizes.h"
+#include "shardsizelimits.h"
 #include "unresolvedstarts.h"
 #include "workerpool.h"
--- a/src/libjobs/leaselog.h
+++ b/src/libjobs/leaselog.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "libworkers/leasenote.h"
+#include "libworkers/leaseevents.h"
 
 #include "libcore/core.h"
 
--- a/src/libjobs/peerplaces.cpp
+++ b/src/libjobs/peerslots.cpp
@@ -1,4 +1,4 @@
-#include "peerplaces.h"
+#include "peerslots.h"
 
 namespace cowslippin {
 
--- a/src/libjobs/scheduler.h
+++ b/src/libjobs/scheduler.h
@@ -5,7 +5,7 @@
 #include "jobend.h"
 #include "jobqueue.h"
 #include "losslog.h"
-#include "peerplaces.h"
+#include "peerslots.h"
 #include "runtimes.h"
 #include "unresolvedstarts.h"
 #include "workerpool.h"
--- a/src/libjobs/shardsizes.cpp
+++ b/src/libjobs/shardsizelimits.cpp
@@ -1,4 +1,4 @@
-#include "shardsizes.h"
+#include "shardsizelimits.h"
 
 namespace cowslippin {
 
--- a/src/libpeers/peerlinks.cpp
+++ b/src/libpeers/peerconnections.cpp
@@ -1,4 +1,4 @@
-#include "peerlinks.h"
+#include "peerconnections.h"
 
 #include "peercodec.h"
 
--- a/src/libpeers/peerlinks.h
+++ b/src/libpeers/peerconnections.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peermessage.h"
-#include "silencewatch.h"
+#include "silencedetector.h"
 
 #include "libprotocol/websockettransport.h"
 
--- a/src/libpeers/peers.h
+++ b/src/libpeers/peers.h
@@ -1,5 +1,5 @@
 #pragma once
 
 #include "peercodec.h"
-#include "peerlinks.h"
+#include "peerconnections.h"
 #include "peermessage.h"
--- a/src/libworkers/lifetracker.cpp
+++ b/src/libworkers/incarnationtracker.cpp
@@ -1,4 +1,4 @@
-#include "lifetracker.h"
+#include "incarnationtracker.h"
 
 namespace cowslippin {
 
--- a/src/libworkers/lifetracker.h
+++ b/src/libworkers/incarnationtracker.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "workerbirth.h"
+#include "workerboottime.h"
 
 #include "libcore/clock.h"
 
--- a/src/libworkers/answertimes.cpp
+++ b/src/libworkers/ordertimeouts.cpp
@@ -1,4 +1,4 @@
-#include "answertimes.h"
+#include "ordertimeouts.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/libworkers/workerlease.h
+++ b/src/libworkers/workerlease.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "answertimes.h"
-#include "leasenote.h"
-#include "lifetracker.h"
+#include "incarnationtracker.h"
+#include "leaseevents.h"
+#include "ordertimeouts.h"
 #include "unansweredstarts.h"
 #include "workerorder.h"
 #include "workerrecord.h"
--- a/src/libworkers/workerorder.h
+++ b/src/libworkers/workerorder.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "holdreport.h"
+#include "workerreport.h"
 
 #include "libcore/clock.h"
 
--- a/src/libworkers/workerrecord.h
+++ b/src/libworkers/workerrecord.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "resources.h"
-#include "workerbirth.h"
+#include "workerboottime.h"
 
 #include "libcore/address.h"
 #include "libcore/ids.h"
--- a/src/libworkers/holdreport.h
+++ b/src/libworkers/workerreport.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "runkey.h"
-#include "workerbirth.h"
+#include "workerboottime.h"
 
 #include <cstdint>
 #include <vector>
--- a/tests/entry/strainmeter_test.cpp
+++ b/tests/entry/cpustarvationdetector_test.cpp
@@ -1,4 +1,4 @@
-#include "libentry/strainmeter.h"
+#include "libentry/cpustarvationdetector.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/entry/tokensource_test.cpp
+++ b/tests/entry/fencingtokengenerator_test.cpp
@@ -1,4 +1,4 @@
-#include "libentry/tokensource.h"
+#include "libentry/fencingtokengenerator.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/entry/heartbeatplan_test.cpp
+++ b/tests/entry/heartbeatschedule_test.cpp
@@ -1,4 +1,4 @@
-#include "libentry/heartbeatplan.h"
+#include "libentry/heartbeatschedule.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/entry/knownjobs_test.cpp
+++ b/tests/entry/peerjobs_test.cpp
@@ -1,6 +1,6 @@
-#include "libentry/knownjobs.h"
+#include "libentry/peerjobs.h"
 
-#include "libentry/heartbeatplan.h"
+#include "libentry/heartbeatschedule.h"
 
 #include "libjobs/jobs.h"
 
--- a/tests/entry/peercontact_test.cpp
+++ b/tests/entry/peerliveness_test.cpp
@@ -1,4 +1,4 @@
-#include "libentry/peercontact.h"
+#include "libentry/peerliveness.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/entry/memberlosses_test.cpp
+++ b/tests/entry/peerlosses_test.cpp
@@ -1,4 +1,4 @@
-#include "libentry/memberlosses.h"
+#include "libentry/peerlosses.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/entry/slownetwork.h
+++ b/tests/entry/slownetwork.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "libentry/entrycore.h"
-#include "libpeers/silencewatch.h"
+#include "libpeers/silencedetector.h"
 
 #include <cstdint>
 #include <deque>
--- a/tests/entry/directoryreaders_test.cpp
+++ b/tests/entry/workerlistreaders_test.cpp
@@ -1,4 +1,4 @@
-#include "libentry/directoryreaders.h"
+#include "libentry/workerlistreaders.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/jobs/peerplaces_test.cpp
+++ b/tests/jobs/peerslots_test.cpp
@@ -1,4 +1,4 @@
-#include "libjobs/peerplaces.h"
+#include "libjobs/peerslots.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/peers/silencewatch_test.cpp
+++ b/tests/peers/silencedetector_test.cpp
@@ -1,4 +1,4 @@
-#include "libpeers/silencewatch.h"
+#include "libpeers/silencedetector.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/workers/answertimes_test.cpp
+++ b/tests/workers/ordertimeouts_test.cpp
@@ -1,4 +1,4 @@
-#include "libworkers/answertimes.h"
+#include "libworkers/ordertimeouts.h"
 
 #include <gtest/gtest.h>
 
