--- a/tests/entry/simulationworkers.cpp
+++ b/tests/entry/simulationworkers.cpp
@@ -346,7 +346,7 @@
   Worker* worker = findWorker(id);
   if (!worker || worker->incarnation != incarnation)
     return;
-  worker->fake->lapse(m_now);
+  worker->fake->expireLease(m_now);
   if (worker->fake->isRunning(key))
     worker->fake->end(key, end);
   answerPendingHolds(*worker);
@@ -369,7 +369,7 @@
     recordViolation("over capacity at " + worker.record.id().value());
   unsigned runs = 0;
   for (const Worker& other : m_workers) {
-    other.fake->lapse(m_now);
+    other.fake->expireLease(m_now);
     for (const RunKey& key : other.fake->runs())
       runs += key.task() == started.task() ? 1 : 0;
   }
@@ -398,7 +398,7 @@
 {
   for (Worker& worker : m_workers) {
     const std::size_t before = worker.fake->runCount();
-    worker.fake->lapse(m_now);
+    worker.fake->expireLease(m_now);
     if (worker.fake->runCount() != before)
       answerPendingHolds(worker);
   }
--- a/tests/jobs/exclusivejobs_test.cpp
+++ b/tests/jobs/exclusivejobs_test.cpp
@@ -139,7 +139,7 @@
   fixture.areStopsLost = true;
   fixture.advance(240);
   for (auto& [id, worker] : fixture.workers)
-    worker.lapse(fixture.now);
+    worker.expireLease(fixture.now);
   EXPECT_EQ(fixture.totalRuns(), 0u);
 }
 
--- a/tests/jobs/submittercontact_test.cpp
+++ b/tests/jobs/submittercontact_test.cpp
@@ -133,7 +133,7 @@
   request.mayHaveRun = true;
   submit(request);
   fixture.now += milliseconds(200);
-  worker.lapse(fixture.now);
+  worker.expireLease(fixture.now);
   EXPECT_TRUE(worker.isRunning(RunKey("a.0.0.0", 1)));
 }
 
--- a/tests/soak/leasedplatform.cpp
+++ b/tests/soak/leasedplatform.cpp
@@ -183,7 +183,7 @@
   static thread_local int ticks = 0;
   const bool isBeat = ++ticks % beatEveryTicks == 0;
   for (Worker& worker : m_workers) {
-    worker.fake->lapse(now);
+    worker.fake->expireLease(now);
     answerHolds(worker, now);
     if (isBeat)
       publishWorker(worker);
@@ -385,7 +385,7 @@
           for (Worker& candidate : m_workers) {
             if (candidate.id != id || candidate.life != life)
               continue;
-            candidate.fake->lapse(steadyNow());
+            candidate.fake->expireLease(steadyNow());
             if (candidate.fake->isRunning(key))
               candidate.fake->end(key, RunEnd::Done);
             answerHolds(candidate, steadyNow());
@@ -442,7 +442,7 @@
     m_violations.push_back("over capacity: " + worker.id);
   unsigned runs = 0;
   for (const Worker& other : m_workers) {
-    other.fake->lapse(steadyNow());
+    other.fake->expireLease(steadyNow());
     runs += other.fake->isTaskRunning(started.task()) ? 1 : 0;
   }
   if (runs > 1) {
--- a/tests/support/fakeworker.h
+++ b/tests/support/fakeworker.h
@@ -25,7 +25,7 @@
 
   LeaseOrderAnswer hold(const LeaseOrder& order, TimePoint now)
   {
-    lapse(now);
+    expireLease(now);
     if (!admit(order.token))
       return OrderFailure::Fenced;
     if (order.deadlineMs)
@@ -44,7 +44,7 @@
 
   OrderAnswer start(const StartOrder& order, TimePoint now)
   {
-    lapse(now);
+    expireLease(now);
     if (!admit(order.token))
       return OrderFailure::Fenced;
     extend(order.deadlineMs);
@@ -62,7 +62,7 @@
 
   OrderAnswer stop(const StopOrder& order, TimePoint now)
   {
-    lapse(now);
+    expireLease(now);
     if (!admit(order.token))
       return OrderFailure::Fenced;
     if (m_running.count(order.key) > 0)
@@ -82,7 +82,7 @@
   void setPercent(const RunKey& key, int percent) { m_running[key] = percent; }
 
   /// Ends everything whose lease is over.
-  void lapse(TimePoint now)
+  void expireLease(TimePoint now)
   {
     if (clockMs(now) < m_deadlineMs)
       return;
--- a/tests/workers/leaseproperty_test.cpp
+++ b/tests/workers/leaseproperty_test.cpp
@@ -102,7 +102,7 @@
 
   void check()
   {
-    m_fixture.worker.lapse(m_fixture.now);
+    m_fixture.worker.expireLease(m_fixture.now);
     std::int64_t used = 0;
     for (const RunKey& key : m_fixture.worker.runs())
       used += m_sizes[key];
--- a/tests/workers/restartedworker_test.cpp
+++ b/tests/workers/restartedworker_test.cpp
@@ -127,7 +127,7 @@
   fixture.deliver(Delivery::Normal, 1);
   ASSERT_TRUE(fixture.worker.isRunning(run1));
   fixture.now += std::chrono::milliseconds(800);
-  fixture.worker.lapse(fixture.now);
+  fixture.worker.expireLease(fixture.now);
   EXPECT_FALSE(fixture.worker.isRunning(run1))
     << "without a renewal the run ends after 750 ms";
 }
--- a/tests/workers/wantedruns_test.cpp
+++ b/tests/workers/wantedruns_test.cpp
@@ -18,7 +18,7 @@
   for (int passed = 0; passed < milliseconds; passed += 20) {
     fixture.advance(20);
     fixture.deliver();
-    fixture.worker.lapse(fixture.now);
+    fixture.worker.expireLease(fixture.now);
   }
 }
 
@@ -49,7 +49,7 @@
   fixture.runWantedUntil[run1] = fixture.now + milliseconds(500);
   startBoth(fixture);
   fixture.now += milliseconds(501);
-  fixture.worker.lapse(fixture.now);
+  fixture.worker.expireLease(fixture.now);
   EXPECT_FALSE(fixture.worker.isRunning(run1)) << "the holder was lost at once";
 }
 
@@ -86,7 +86,7 @@
   fixture.advance(100);
   fixture.deliver();
   fixture.now += milliseconds(51);
-  fixture.worker.lapse(fixture.now);
+  fixture.worker.expireLease(fixture.now);
   EXPECT_FALSE(fixture.worker.isRunning(run1));
 }
 
@@ -98,7 +98,7 @@
   fixture.lease.requestReport(fixture.now);
   fixture.deliver();
   fixture.now += milliseconds(700);
-  fixture.worker.lapse(fixture.now);
+  fixture.worker.expireLease(fixture.now);
   EXPECT_TRUE(fixture.worker.isRunning(run1));
 }
 
@@ -137,7 +137,7 @@
   for (int i = 0; i < 8; ++i) {
     fixture.advance(90);
     fixture.deliver(Delivery::Lost, 4);
-    fixture.worker.lapse(fixture.now);
+    fixture.worker.expireLease(fixture.now);
     for (const auto& [key, how] : fixture.ended)
       EXPECT_FALSE(fixture.worker.isRunning(key)) << 290 + 90 * (i + 1);
   }
--- a/tests/workers/workerlease_test.cpp
+++ b/tests/workers/workerlease_test.cpp
@@ -215,7 +215,7 @@
   fixture.claim(10);
   fixture.orders.clear();
   fixture.now += std::chrono::milliseconds(110);
-  fixture.worker.lapse(fixture.now);
+  fixture.worker.expireLease(fixture.now);
   EXPECT_FALSE(fixture.worker.isRunning(run1));
 }
 
@@ -232,7 +232,7 @@
          fixture.now < fixture.lease.runsExpireBy() + std::chrono::seconds(5)) {
     fixture.advance(20);
     fixture.deliver(Delivery::AnswerLost, 1);
-    fixture.worker.lapse(fixture.now);
+    fixture.worker.expireLease(fixture.now);
   }
   ASSERT_EQ(fixture.ended.size(), 1u);
   EXPECT_FALSE(fixture.worker.isRunning(run1));
