--- a/src/libshards/shardtable.cpp
+++ b/src/libshards/shardtable.cpp
@@ -362,7 +362,7 @@
 {
   // Without the full wait a daemon takes one shard only, so that the first
   // daemon that is back doesn't take the whole zone: on machines of 0.12 cores
-  // that cost a group of daemons that had grown 7 points of its score.
+  // that cost a large group of daemons 7 points of its score.
   const bool isInformed =
     hasWaitedForOthers(now) || (ownShards == 0 && isKnownFree(shard, now));
   if (!m_isReady || m_isLeaving || !isInformed)
